--- a/coraldeal/relay/__init__.py
+++ b/coraldeal/relay/__init__.py
@@ -1,1 +1,4 @@
-"""The relay: a list on its way from its source to many nodes. Imported by `coraldeal relay` alone."""
+"""The relay: follows a source's list of servers and serves it to many nodes.
+
+Only `coraldeal relay` imports this package, apart from the order of sources in `route.py`.
+"""
--- a/coraldeal/relay/link.py
+++ b/coraldeal/relay/link.py
@@ -1,4 +1,4 @@
-"""The relay's own watch at its source. I/O alone: `State` and `Route` decide."""
+"""The relay's own watch at its source. I/O alone: `State` and `SourceSelector` decide."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from yarl import URL
 
 from coraldeal.net.wire import OBJECT_MOST, Objects, list_url
-from coraldeal.relay.route import SILENCE, Route
+from coraldeal.relay.route import LIVENESS_TIMEOUT_US, SourceSelector
 from coraldeal.relay.state import BACKFILL, OutOfOrder, State, Unusable, read_told
 
 log = logging.getLogger(__name__)
@@ -61,13 +61,13 @@
     def __init__(
         self,
         state: State,
-        route: Route,
+        selector: SourceSelector,
         services: Sequence[str],
         on_news: Callable[[], None],
         on_life: Callable[[], None],
     ) -> None:
         self.state = state
-        self.route = route
+        self.selector = selector
         self.services = services
         # Something was taken; the source has shown that it lives.
         self.on_news = on_news
@@ -100,7 +100,7 @@
         try:
             async with (
                 asyncio.timeout(ASK_WAIT),
-                _asked(list_url(self.route.address, services, after)) as answer,
+                _asked(list_url(self.selector.address, services, after)) as answer,
             ):
                 async for piece in answer.content.iter_any():
                     for text in objects.feed(piece):
@@ -121,11 +121,11 @@
                     raise
                 # Renewed, at the same source.
                 continue
-            await asyncio.sleep(self.route.ended(silent, stay=self.asks_whole) / 1e6)
+            await asyncio.sleep(self.selector.record_end(silent, stay=self.asks_whole) / 1e6)
 
     async def _one(self) -> bool:
         """One link, to its end; whether that was silence."""
-        address = self.route.address
+        address = self.selector.address
         silence = asyncio.timeout(None)
         why = "it ended"
         try:
@@ -168,7 +168,7 @@
         objects = Objects()
         fresh = True
         async with silence:
-            silence.reschedule(loop.time() + SILENCE / 1e6)
+            silence.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
             async with _asked(list_url(address, self.services, after)) as answer:
                 age_us = _age_us(answer)
                 async for piece in answer.content.iter_any():
@@ -183,7 +183,7 @@
                         self._heard(0)
                     if whole or not objects.begun:
                         self.backfilled = True
-                        silence.reschedule(loop.time() + SILENCE / 1e6)
+                        silence.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
 
     def _take(self, text: bytes, fresh: bool, after: int, age_us: int) -> None:
         told = read_told(text)
@@ -193,7 +193,7 @@
             self.asks_whole = fresh and after >= self.state.version
             raise
         if set_back:
-            pairs = {"source": self.route.address, "version": told.version, "epoch": self.state.epoch}
+            pairs = {"source": self.selector.address, "version": told.version, "epoch": self.state.epoch}
             log.warning("source set back, another history", extra={"pairs": pairs})
         self.told_why = ""
         self.on_news()
@@ -201,5 +201,5 @@
 
     def _heard(self, age_us: int) -> None:
         self.told_why = ""
-        if self.route.heard(clock(), age_us):
+        if self.selector.record_contact(clock(), age_us):
             self.on_life()
--- a/coraldeal/relay/route.py
+++ b/coraldeal/relay/route.py
@@ -1,6 +1,6 @@
-"""Which source a relay follows next, after what wait, and how old what it has heard is. No I/O, no clock.
+"""Selects the source that a relay follows next and the delay before it, and tracks the age of the data.
 
-Times are whole microseconds.
+The module does no I/O and reads no clock. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -8,74 +8,80 @@
 from collections.abc import Sequence
 from zlib import crc32
 
-SECOND = 1_000_000
-# A sign of life comes every 2 s, through a relay `BEAT_SPACING` later at the most. The relay notices a
-# silence when its followers do, who heard the same one, and is at another source while they turn elsewhere.
-SILENCE = 2_500_000
-# Waits before the next source where one failed at once, and how far they grow once all have failed: as a
-# node's own, since what the relay misses meanwhile all its followers miss.
-RETRY_LEAST, RETRY_MOST = 100_000, 400_000
-# What a source has said this long ago or longer, by its own word, is no sign that it lives.
-OLD = 1 * SECOND
-# Signs of life need not be passed on more often than this; two such hops leave a follower, who gives up a
-# watch that says nothing for 2.5 s, a tenth of a second of lateness.
-BEAT_SPACING = 200_000
+SECOND_US = 1_000_000
+# How long a watch may bring nothing before the relay drops it. Heartbeats come every 2 s, and a relay in
+# between delays them by up to `MIN_HEARTBEAT_INTERVAL_US`. The relay's followers use the same timeout and see
+# the same silence, so the relay is connected to another source by the time they turn to another relay.
+LIVENESS_TIMEOUT_US = 2_500_000
+# The delay before the next source after a failure, and the limit of its exponential growth once every source
+# has failed. A node uses the same delays: all followers of the relay miss what the relay misses meanwhile.
+MIN_RETRY_DELAY_US, MAX_RETRY_DELAY_US = 100_000, 400_000
+# Data that is this old or older, by its `Age` header, doesn't show that the source is alive now.
+STALE_AGE_US = 1 * SECOND_US
+# Heartbeats are passed on to a follower at most once in this time. Two relays in a row then add 0.4 s to the
+# source's 2 s, which leaves 0.1 s until a follower's liveness timeout of 2.5 s.
+MIN_HEARTBEAT_INTERVAL_US = 200_000
 
 
 def in_own_order(addresses: Sequence[str], seed: str) -> list[str]:
-    """Addresses in an order drawn one by one, another for each seed, so that followers part evenly.
+    """The addresses in a pseudo-random order that depends on the seed, so that followers spread evenly.
 
-    Also those who lose the same relay: checksums of texts that are alike differ alike, so that the second
-    draw would follow from the first but for the digits between.
+    Followers that lose the same relay spread evenly over the others too. That needs the two nested checksums:
+    CRC-32 maps similar differences between texts to similar differences between checksums, so with a single
+    one the second draw would follow from the first but for the changed digits.
     """
-    left = list(addresses)
+    remaining = list(addresses)
     order = []
-    for draw in range(len(left)):
+    for draw in range(len(remaining)):
         digits = crc32(f"{seed} order {draw}".encode())
-        order.append(left.pop(crc32(b"%d" % digits) * len(left) >> 32))
+        order.append(remaining.pop(crc32(b"%d" % digits) * len(remaining) >> 32))
     return order
 
 
-class Route:
-    """The sources of one list: one after the other, in this relay's own order."""
+class SourceSelector:
+    """The sources of one list, tried one after another in an order of this relay's own."""
 
-    __slots__ = ("addresses", "at", "draws", "failures", "heard_us", "seed")
+    __slots__ = ("addresses", "consecutive_failures", "delay_draws", "index", "last_contact_us", "seed")
 
     def __init__(self, addresses: Sequence[str], seed: str) -> None:
         self.addresses = in_own_order(addresses, seed)
         self.seed = seed
-        self.at = 0
-        self.draws = 0
-        # Links in a row that brought no sign of life.
-        self.failures = 0
-        # When the source was last heard, by its own word or that of a relay before; -1: never.
-        self.heard_us = -1
+        self.index = 0
+        # How many retry delays were drawn: the counter of the seeded jitter.
+        self.delay_draws = 0
+        # Watches in a row that brought neither data nor a heartbeat.
+        self.consecutive_failures = 0
+        # When the source was last known to be alive, by its own data or the report of a relay in between; -1:
+        # never.
+        self.last_contact_us = -1
 
     @property
     def address(self) -> str:
-        return self.addresses[self.at]
+        """The address of the current source."""
+        return self.addresses[self.index]
 
-    def heard(self, now_us: int, age_us: int = 0) -> bool:
-        """Something whole came that was `age_us` old; whether that says that the source lives now."""
-        self.failures = 0
-        self.heard_us = max(self.heard_us, now_us - age_us)
-        return age_us < OLD
+    def record_contact(self, now_us: int, age_us: int = 0) -> bool:
+        """Records a complete object or heartbeat that is `age_us` old; true if it shows a live source."""
+        self.consecutive_failures = 0
+        self.last_contact_us = max(self.last_contact_us, now_us - age_us)
+        return age_us < STALE_AGE_US
 
     def age_us(self, now_us: int) -> int:
-        """How long ago the source was last heard."""
-        return max(0, now_us - self.heard_us)
+        """The time since the source was last known to be alive."""
+        return max(0, now_us - self.last_contact_us)
 
-    def ended(self, silent: bool, stay: bool = False) -> int:
-        """A link has ended; the wait before the next one.
+    def record_end(self, timed_out: bool, stay: bool = False) -> int:
+        """Records that a watch has ended, moves on to the next source and returns the delay before it.
 
-        A silence has taken long enough. `stay`: the same source is to be asked for its whole list.
+        After a liveness timeout the delay is 0, since the timeout took long enough. `stay` keeps the current
+        source, which is asked for its snapshot next.
         """
-        self.failures += 1
+        self.consecutive_failures += 1
         if not stay:
-            self.at = (self.at + 1) % len(self.addresses)
-        if silent:
+            self.index = (self.index + 1) % len(self.addresses)
+        if timed_out:
             return 0
-        self.draws += 1
-        chance = crc32(f"{self.seed} wait {self.draws}".encode()) / 2**32
-        rounds = min(self.failures // len(self.addresses), 8)
-        return int(min(RETRY_LEAST << rounds, RETRY_MOST) * (0.5 + chance))
+        self.delay_draws += 1
+        jitter = crc32(f"{self.seed} wait {self.delay_draws}".encode()) / 2**32
+        rounds = min(self.consecutive_failures // len(self.addresses), 8)
+        return int(min(MIN_RETRY_DELAY_US << rounds, MAX_RETRY_DELAY_US) * (0.5 + jitter))
--- a/coraldeal/relay/server.py
+++ b/coraldeal/relay/server.py
@@ -20,7 +20,7 @@
 from coraldeal.net.wire import LIST_PATH, READY_PATH
 from coraldeal.operator import RelayTable
 from coraldeal.relay.link import Link, clock
-from coraldeal.relay.route import BEAT_SPACING, SECOND, Route
+from coraldeal.relay.route import MIN_HEARTBEAT_INTERVAL_US, SECOND_US, SourceSelector
 from coraldeal.relay.state import Cursor, State
 
 log = logging.getLogger(__name__)
@@ -133,8 +133,8 @@
             raise SettingsError("relay.listen and relay.sources: a relay needs both")
         self.table = table
         self.state = State()
-        self.route = Route(table.sources, seed)
-        self.link = Link(self.state, self.route, table.services, self._news, self._life)
+        self.selector = SourceSelector(table.sources, seed)
+        self.link = Link(self.state, self.selector, table.services, self._news, self._life)
         self.followers: dict[Follower, None] = {}
         if sockets is None:
             sockets = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
@@ -175,7 +175,11 @@
         near.listen(BACKLOG)
         self.listener = Acceptor(near, self.server, ACCEPT_AT_ONCE)
         self.listener.start()
-        pairs = {"listen": self.address, "sources": ",".join(self.route.addresses), "followers": self.limit}
+        pairs = {
+            "listen": self.address,
+            "sources": ",".join(self.selector.addresses),
+            "followers": self.limit,
+        }
         log.info("relay up, no list yet", extra={"pairs": pairs})
         self.link.start()
 
@@ -213,7 +217,9 @@
             "version": self.state.version,
             "entries": len(self.state.entries),
             "tombstones": len(self.state.tombstones),
-            "age_ms": self.route.age_us(clock()) // 1000 if self.route.heard_us >= 0 else "never",
+            "age_ms": self.selector.age_us(clock()) // 1000
+            if self.selector.last_contact_us >= 0
+            else "never",
             "objects": self.objects_told,
             "bytes": self.bytes_told,
         }
@@ -236,7 +242,7 @@
         self._look_ready()
         now = clock()
         for follower in self.followers:
-            if now - follower.told_us < BEAT_SPACING or not follower.is_free():
+            if now - follower.told_us < MIN_HEARTBEAT_INTERVAL_US or not follower.is_free():
                 continue
             if self.state.has_news(follower.cursor):
                 self._push(follower)
@@ -333,7 +339,7 @@
             self.state.leave(cursor)
 
     def _head(self) -> dict[str, str]:
-        return {"Content-Type": "application/json", "Age": str(self.route.age_us(clock()) // SECOND)}
+        return {"Content-Type": "application/json", "Age": str(self.selector.age_us(clock()) // SECOND_US)}
 
     async def _watch(self, request: web.BaseRequest, cursor: Cursor) -> web.StreamResponse:
         """One watch, until it is left or the relay ends."""
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -214,7 +214,7 @@
 class Life(RelayCase):
     async def test_a_silent_source_makes_silence_at_every_hop(self) -> None:
         source = await self.source()
-        with mock.patch.object(server_module, "BEAT_SPACING", 0):
+        with mock.patch.object(server_module, "MIN_HEARTBEAT_INTERVAL_US", 0):
             first = await self.ready(source.stand_in.address)
             second = await self.ready(first.address)
             follower = await self.follower(second, "?watch=1&after=10&services=b")
@@ -236,8 +236,8 @@
         source.stand_in.stop()
         for writer in list(source.writers):
             writer.transport.abort()
-        old = first.route.heard_us - 20_000_000
-        first.route.heard_us = second.route.heard_us = old
+        old = first.selector.last_contact_us - 20_000_000
+        first.selector.last_contact_us = second.selector.last_contact_us = old
         follower = await self.follower(second, "?watch=1&after=10&services=b")
         second.link.renew()
         await until(lambda: len(first.followers) == 1)
@@ -246,7 +246,7 @@
         await asyncio.sleep(0.1)
         self.assertEqual((follower.beats, follower.told, fresh.names()), (0, [], ["a1", "a2", "b1"]))
         self.assertRegex(fresh.head, rb"Age: 2\d\r\n")
-        self.assertLess(second.route.heard_us, old + 2_000_000)
+        self.assertLess(second.selector.last_contact_us, old + 2_000_000)
 
     async def test_a_silent_a_hanging_and_a_dead_source_are_left_with_after(self) -> None:
         good = await self.source()
@@ -260,11 +260,11 @@
                 await (asyncio.sleep(0.05) if bad != "silent" else reader.read())
                 (writer.transport.abort if bad == "dead" else writer.close)()
 
-            with self.subTest(bad), mock.patch.object(link_module, "SILENCE", 300_000):
+            with self.subTest(bad), mock.patch.object(link_module, "LIVENESS_TIMEOUT_US", 300_000):
                 other = await self.stand_in(play)
                 good.first = {10: line(11, False, of("a", "a9"))}
                 relay = await self.relay(other.address, good.stand_in.address)
-                relay.route.addresses, relay.route.at = [other.address, good.stand_in.address], 0
+                relay.selector.addresses, relay.selector.index = [other.address, good.stand_in.address], 0
                 await until(relay._is_ready)
                 follower = await self.follower(relay, "?watch=1&after=10")
                 await until(lambda f=follower: bool(f.told), 3.0)  # type: ignore[misc]
--- a/tests/test_relay_state.py
+++ b/tests/test_relay_state.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from coraldeal.relay import state as state_module
-from coraldeal.relay.route import OLD, RETRY_MOST, Route
+from coraldeal.relay.route import MAX_RETRY_DELAY_US, STALE_AGE_US, SourceSelector
 from coraldeal.relay.state import Cursor, OutOfOrder, State, Unusable, read_told
 from tests.standins import entry, server_list
 
@@ -212,32 +212,32 @@
 class Routes(unittest.TestCase):
     def test_at_once_behind_a_silence_else_spread_by_chance(self) -> None:
         sources = [f"10.0.0.{i}:1" for i in range(4)]
-        routes = [Route(sources, str(seed)) for seed in range(200)]
+        routes = [SourceSelector(sources, str(seed)) for seed in range(200)]
         first = [sum(route.address == source for route in routes) for source in sources]
         self.assertGreater(min(first), 30)
         route = routes[0]
         seen = [route.address]
         for _ in range(3):
-            self.assertEqual(route.ended(silent=True), 0)
+            self.assertEqual(route.record_end(timed_out=True), 0)
             seen.append(route.address)
         self.assertEqual(sorted(seen), sources)
         stays = route.address
-        self.assertGreater(route.ended(silent=False, stay=True), 0)
+        self.assertGreater(route.record_end(timed_out=False, stay=True), 0)
         self.assertEqual(route.address, stays)
-        waits = [other.ended(silent=False) for other in routes[1:]]
+        waits = [other.record_end(timed_out=False) for other in routes[1:]]
         # The next of several is asked well within what is left of 6 s, by no two relays in the same moment.
         self.assertLess(max(waits), 150_000)
         self.assertGreater(len(dict.fromkeys(waits)), 150)
-        longest = [route.ended(silent=False) for _ in range(40)]
-        self.assertLessEqual(max(longest), 1.5 * RETRY_MOST)
+        longest = [route.record_end(timed_out=False) for _ in range(40)]
+        self.assertLessEqual(max(longest), 1.5 * MAX_RETRY_DELAY_US)
         self.assertGreater(longest[-1], max(waits))
 
     def test_age_is_passed_on(self) -> None:
-        route = Route(["10.0.0.1:1"], "7")
-        self.assertFalse(route.heard(50_000_000, age_us=20_000_000))
+        route = SourceSelector(["10.0.0.1:1"], "7")
+        self.assertFalse(route.record_contact(50_000_000, age_us=20_000_000))
         self.assertEqual(route.age_us(51_000_000), 21_000_000)
-        self.assertTrue(route.heard(52_000_000))
-        self.assertFalse(route.heard(53_000_000, age_us=OLD))
+        self.assertTrue(route.record_contact(52_000_000))
+        self.assertFalse(route.record_contact(53_000_000, age_us=STALE_AGE_US))
         self.assertEqual(route.age_us(53_000_000), 1_000_000)
 
 
