--- a/coraldeal/relay/link.py
+++ b/coraldeal/relay/link.py
@@ -1,4 +1,4 @@
-"""The relay's own watch at its source. I/O alone: `State` and `SourceSelector` decide."""
+"""The relay's own watch at its source. I/O alone: `ListState` and `SourceSelector` decide."""
 
 from __future__ import annotations
 
@@ -13,7 +13,13 @@
 
 from coraldeal.net.wire import OBJECT_MOST, Objects, list_url
 from coraldeal.relay.route import LIVENESS_TIMEOUT_US, SourceSelector
-from coraldeal.relay.state import BACKFILL, OutOfOrder, State, Unusable, read_told
+from coraldeal.relay.state import (
+    BACKFILL_GENERATIONS,
+    InvalidUpdate,
+    ListState,
+    OutOfOrderUpdate,
+    parse_update,
+)
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +46,7 @@
     try:
         yield from objects.feed(piece)
     except ValueError as error:
-        raise Unusable(f"unreadable, {error}") from None
+        raise InvalidUpdate(f"unreadable, {error}") from None
 
 
 @asynccontextmanager
@@ -60,7 +66,7 @@
 
     def __init__(
         self,
-        state: State,
+        state: ListState,
         selector: SourceSelector,
         services: Sequence[str],
         on_news: Callable[[], None],
@@ -104,7 +110,7 @@
             ):
                 async for piece in answer.content.iter_any():
                     for text in objects.feed(piece):
-                        return read_told(text).version
+                        return parse_update(text).generation
         except (OSError, TimeoutError, aiohttp.ClientError, ValueError):
             # It will be asked again.
             pass
@@ -129,14 +135,14 @@
         silence = asyncio.timeout(None)
         why = "it ended"
         try:
-            after = self.state.version
+            after = self.state.generation
             if after < 0:
                 # Here and now alone: another relay may be behind this one.
-                after = max(0, await self._whole(address) - BACKFILL)
+                after = max(0, await self._whole(address) - BACKFILL_GENERATIONS)
             elif self.asks_whole:
                 after = await self._whole(address)
             await self._watch(address, silence, after)
-        except Unusable as error:
+        except InvalidUpdate as error:
             why = str(error)
         except (OSError, TimeoutError, aiohttp.ClientError) as error:
             why = "it fell silent" if silence.expired() else f"{type(error).__name__}: {error}"
@@ -147,7 +153,7 @@
         # The same end once more says nothing new, and a line for each would hide what does.
         level = logging.DEBUG if why == self.told_why else logging.WARNING
         self.told_why = why
-        pairs = {"source": address, "why": why, "version": self.state.version}
+        pairs = {"source": address, "why": why, "version": self.state.generation}
         log.log(level, "source lost", extra={"pairs": pairs})
         return silence.expired()
 
@@ -159,9 +165,9 @@
             async for piece in answer.content.iter_any():
                 text += piece
                 if len(text) > OBJECT_MOST:
-                    raise Unusable(f"an object of more than {OBJECT_MOST} bytes")
+                    raise InvalidUpdate(f"an object of more than {OBJECT_MOST} bytes")
             self._take(bytes(text), True, -1, _age_us(answer))
-        return self.state.version
+        return self.state.generation
 
     async def _watch(self, address: str, silence: asyncio.Timeout, after: int) -> None:
         loop = asyncio.get_running_loop()
@@ -186,14 +192,14 @@
                         silence.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
 
     def _take(self, text: bytes, fresh: bool, after: int, age_us: int) -> None:
-        told = read_told(text)
+        told = parse_update(text)
         try:
-            set_back = self.state.take(told, fresh, after)
-        except OutOfOrder:
-            self.asks_whole = fresh and after >= self.state.version
+            set_back = self.state.apply_update(told, fresh, after)
+        except OutOfOrderUpdate:
+            self.asks_whole = fresh and after >= self.state.generation
             raise
         if set_back:
-            pairs = {"source": self.selector.address, "version": told.version, "epoch": self.state.epoch}
+            pairs = {"source": self.selector.address, "version": told.generation, "epoch": self.state.epoch}
             log.warning("source set back, another history", extra={"pairs": pairs})
         self.told_why = ""
         self.on_news()
--- a/coraldeal/relay/server.py
+++ b/coraldeal/relay/server.py
@@ -1,4 +1,4 @@
-"""The relay on sockets: followers, who are told from `State`, and the phases from start to end."""
+"""The relay on sockets: followers, who are told from `ListState`, and the phases from start to end."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from coraldeal.operator import RelayTable
 from coraldeal.relay.link import Link, clock
 from coraldeal.relay.route import MIN_HEARTBEAT_INTERVAL_US, SECOND_US, SourceSelector
-from coraldeal.relay.state import Cursor, State
+from coraldeal.relay.state import Cursor, ListState
 
 log = logging.getLogger(__name__)
 
@@ -132,7 +132,7 @@
         if not table.listen or not table.sources:
             raise SettingsError("relay.listen and relay.sources: a relay needs both")
         self.table = table
-        self.state = State()
+        self.state = ListState()
         self.selector = SourceSelector(table.sources, seed)
         self.link = Link(self.state, self.selector, table.services, self._news, self._life)
         self.followers: dict[Follower, None] = {}
@@ -214,7 +214,7 @@
         asyncio.get_running_loop().call_later(TELL_EVERY, self._tell)
         pairs = {
             "followers": len(self.followers),
-            "version": self.state.version,
+            "version": self.state.generation,
             "entries": len(self.state.entries),
             "tombstones": len(self.state.tombstones),
             "age_ms": self.selector.age_us(clock()) // 1000
@@ -234,7 +234,7 @@
             self.listed_at = loop.time() + BACKFILL_WAIT
         self._look_ready()
         for follower in self.followers:
-            if self.state.has_news(follower.cursor):
+            if self.state.has_update(follower.cursor):
                 self._push(follower)
 
     def _life(self) -> None:
@@ -244,9 +244,9 @@
         for follower in self.followers:
             if now - follower.told_us < MIN_HEARTBEAT_INTERVAL_US or not follower.is_free():
                 continue
-            if self.state.has_news(follower.cursor):
+            if self.state.has_update(follower.cursor):
                 self._push(follower)
-            elif text := self.state.beat(follower.cursor):
+            elif text := self.state.encode_heartbeat(follower.cursor):
                 follower.write(text)
 
     def _push(self, follower: Follower) -> None:
@@ -254,7 +254,7 @@
         if not follower.is_free():
             follower.wake.set()
             return
-        text = self.state.news(follower.cursor)
+        text = self.state.encode_update(follower.cursor)
         self.objects_told += 1
         self.bytes_told += len(text)
         follower.write(text)
@@ -269,7 +269,7 @@
         if not self.is_told_ready and self._is_ready():
             self.is_told_ready = True
             state = self.state
-            pairs = {"version": state.version, "entries": len(state.entries), "from": state.floor}
+            pairs = {"version": state.generation, "entries": len(state.entries), "from": state.delta_floor}
             log.info("relay ready", extra={"pairs": pairs})
 
     # Followers.
@@ -329,14 +329,14 @@
         if len(self.followers) >= self.limit:
             self._refuse()
             raise BadRequest(503, "followers at their limit")
-        cursor = self.state.follow(services, after if watch else -1)
+        cursor = self.state.add_follower(services, after if watch else -1)
         try:
             if watch:
                 return await self._watch(request, cursor)
-            text = self.state.news(cursor)
+            text = self.state.encode_update(cursor)
             return web.Response(body=text, headers=self._head())
         finally:
-            self.state.leave(cursor)
+            self.state.remove_follower(cursor)
 
     def _head(self) -> dict[str, str]:
         return {"Content-Type": "application/json", "Age": str(self.selector.age_us(clock()) // SECOND_US)}
@@ -362,7 +362,7 @@
                 await protocol._drain_helper()
                 if follower.ended:
                     return response
-                if self.state.has_news(cursor):
+                if self.state.has_update(cursor):
                     self._push(follower)
                 elif self.state.is_ahead(cursor):
                     self._ask_ahead()
@@ -384,14 +384,14 @@
         lower generation, it was set back.
         """
         while ahead := [each for each in self.followers if self.state.is_ahead(each.cursor)]:
-            first = max(ahead, key=lambda each: each.cursor.version)
-            version = await self.link.ask(first.cursor.version, first.cursor.interest.key)
-            if version is not None and version < self.state.version:
+            first = max(ahead, key=lambda each: each.cursor.generation)
+            version = await self.link.ask(first.cursor.generation, first.cursor.subscription.key)
+            if version is not None and version < self.state.generation:
                 # What is held here is of another history itself: once that is clear all are told.
                 self.link.renew()
             elif version is not None:
                 for follower in ahead:
-                    self.state.deny(follower.cursor, version)
-                    if follower in self.followers and self.state.has_news(follower.cursor):
+                    self.state.invalidate_if_ahead(follower.cursor, version)
+                    if follower in self.followers and self.state.has_update(follower.cursor):
                         self._push(follower)
             await asyncio.sleep(ASK_EVERY)
--- a/coraldeal/relay/state.py
+++ b/coraldeal/relay/state.py
@@ -1,7 +1,8 @@
-"""What a relay holds of its source's list, and what that comes to for each follower. No I/O, no clock.
+"""Holds a source's list of servers and derives the snapshot or delta that each follower needs.
 
-The generations are the source's. Of each entry the generation of its last change is kept, of one that is gone
-a tombstone, so what changed after any generation is told from state alone, folded, without a log.
+The module does no I/O and reads no clock. The generations are those of the source. Each entry is kept with
+the generation of its last change, and each removed entry as a tombstone. So the changes after any generation
+are derived from this state alone, coalesced to the last change of each entry; no log is needed.
 """
 
 from __future__ import annotations
@@ -13,446 +14,501 @@
 
 from coraldeal.net.wire import read_list
 
-# Tombstones kept; beyond these the oldest goes, and whoever has not heard of it is told the whole list.
-TOMBSTONES_MOST = 10_000
-# How far behind its first list a relay asks for the changes, so that it knows for those who come by then what
-# they have missed: 50 minutes at 57,000 changes a day.
-BACKFILL = 2_000
-# Of how many objects that came folded the ends are kept, before the floor goes up.
-GAPS_MOST = 4_096
-# For how many different places in history one text is kept beside the newest state.
-TEXTS_MOST = 16
+# How many tombstones are kept. Beyond that the oldest is dropped, and a follower that has not received it
+# gets a snapshot.
+MAX_TOMBSTONES = 10_000
+# How many generations before its first snapshot a relay asks the source for changes, so that it can send
+# deltas to followers that come from another relay. At 57,000 changes a day this is 50 minutes.
+BACKFILL_GENERATIONS = 2_000
+# How many gaps (ranges of generations received as one object) are kept. Beyond that `delta_floor` rises past
+# the oldest one.
+MAX_GAPS = 4_096
+# For how many start generations an encoded text is cached, per service and per subscription.
+MAX_CACHED_TEXTS = 16
 
 GONE = "Gone"
 
 
-class Line(NamedTuple):
-    """An entry as it is passed on: its bytes hold all fields, known here or not."""
+class EntryUpdate(NamedTuple):
+    """An entry as it is forwarded.
+
+    `encoded` holds all fields of the entry, also those that this module doesn't know.
+    """
 
     name: str
     service: str
-    gone: bool
-    text: bytes
+    removed: bool
+    encoded: bytes
 
 
-class Told(NamedTuple):
-    """A whole list or changes of it."""
+class ListUpdate(NamedTuple):
+    """One object of a source: a snapshot (the whole list) or a delta (changes of it)."""
 
-    version: int
-    whole: bool
-    lines: list[Line]
+    generation: int
+    is_snapshot: bool
+    entries: list[EntryUpdate]
 
-    def there(self) -> dict[str, None]:
-        """The names that are there, whatever is told of their past."""
-        return {line.name: None for line in self.lines if not line.gone}
+    def present_names(self) -> dict[str, None]:
+        """The names that have an entry in this update, whether or not they have a tombstone in it too."""
+        return {entry.name: None for entry in self.entries if not entry.removed}
 
 
-class Unusable(ValueError):
-    """What came from a source cannot be taken; the text says what and where."""
+class InvalidUpdate(ValueError):
+    """An object from a source cannot be applied; the text says what is wrong and where."""
 
 
-class OutOfOrder(Unusable):
-    """An older word, or another one of the same generation."""
+class OutOfOrderUpdate(InvalidUpdate):
+    """An object is older than the list held, or differs from it at the same generation."""
 
 
-def _refuse_constant(text: str) -> None:
-    raise ValueError(f"{text} is no figure of JSON")
+def _reject_constant(text: str) -> None:
+    raise ValueError(f"{text} is not a JSON number")
 
 
-def _text(item: Any) -> bytes:
+def _encode_entry(item: Any) -> bytes:
     return json.dumps(item, separators=(",", ":")).encode()
 
 
-def _gone(text: bytes) -> bytes:
-    """The tombstone of an entry of which no more is told."""
-    return _text({**json.loads(text), "lifecycle": GONE})
+def _encode_tombstone(encoded: bytes) -> bytes:
+    """The tombstone of an encoded entry for whose removal the source sent no text of its own."""
+    return _encode_entry({**json.loads(encoded), "lifecycle": GONE})
 
 
-def _line(item: dict[str, Any]) -> Line:
+def _parse_entry(item: dict[str, Any]) -> EntryUpdate:
     service = item.get("service", "")
     if not isinstance(service, str):
-        raise ValueError(f"service is no text: {service!r}")
-    return Line(str(item["instanceId"]), service, item["lifecycle"] == GONE, _text(item))
+        raise ValueError(f"service is not a string: {service!r}")
+    return EntryUpdate(str(item["instanceId"]), service, item["lifecycle"] == GONE, _encode_entry(item))
 
 
-def _last(lines: list[Line]) -> list[Line]:
-    """Of each name the last line, and before it that it is gone from where else it was."""
-    last = {line.name: line for line in lines}
-    if len(last) == len(lines):
-        return lines
-    kept = {(line.name, line.service): line for line in lines}
+def _keep_last_updates(entries: list[EntryUpdate]) -> list[EntryUpdate]:
+    """Keeps the last update of each name, and a tombstone for each other service that names it."""
+    last = {entry.name: entry for entry in entries}
+    if len(last) == len(entries):
+        return entries
+    last_by_service = {(entry.name, entry.service): entry for entry in entries}
     return [
-        line if line.gone or line is last[line.name] else line._replace(gone=True, text=_gone(line.text))
-        for line in kept.values()
+        entry
+        if entry.removed or entry is last[entry.name]
+        else entry._replace(removed=True, encoded=_encode_tombstone(entry.encoded))
+        for entry in last_by_service.values()
     ]
 
 
-def read_told(text: bytes) -> Told:
-    """One object of a source; raises Unusable for one that a node could not read either."""
+def parse_update(text: bytes) -> ListUpdate:
+    """Parses one object of a source; raises InvalidUpdate for an object that a node could not read either."""
     try:
-        values = json.loads(text, parse_constant=_refuse_constant)
+        values = json.loads(text, parse_constant=_reject_constant)
         read_list(values, 0)
-        version = values["generation"]
-        if not isinstance(version, int) or isinstance(version, bool) or version < 0:
-            raise ValueError(f"generation is no whole number: {version!r}")
-        return Told(version, bool(values["reset"]), _last([_line(item) for item in values["instances"]]))
+        generation = values["generation"]
+        if not isinstance(generation, int) or isinstance(generation, bool) or generation < 0:
+            raise ValueError(f"generation is not an integer of 0 or more: {generation!r}")
+        return ListUpdate(
+            generation,
+            bool(values["reset"]),
+            _keep_last_updates([_parse_entry(item) for item in values["instances"]]),
+        )
     except (ValueError, KeyError, TypeError, AttributeError, OverflowError, RecursionError) as error:
-        raise Unusable(f"unreadable, {type(error).__name__}: {error}, in {text[:60]!r}") from None
+        raise InvalidUpdate(f"unreadable, {type(error).__name__}: {error}, in {text[:60]!r}") from None
 
 
 class Change(NamedTuple):
-    """An entry's last change: the entry since, or its tombstone."""
+    """The last change of an entry: the entry as it is since that generation, or its tombstone."""
 
-    version: int
-    gone: bool
-    text: bytes
+    generation: int
+    removed: bool
+    encoded: bytes
 
 
 class Service:
-    """The entries and tombstones of one service, in the order of their last changes."""
+    """The entries and tombstones of one service, ordered by their last changes."""
 
-    __slots__ = ("changed", "changes", "interests", "name", "texts")
+    __slots__ = ("changes", "encoded_changes", "last_changed", "name", "subscriptions")
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.changes: dict[str, Change] = {}
-        # The generation of the newest of them.
-        self.changed = -1
-        # Who asks for this service among others.
-        self.interests: dict[Interest, None] = {}
-        # Encoded once for all of them: what changed after a generation, tombstones and entries apart.
-        self.texts: dict[int, tuple[list[bytes], list[bytes]]] = {}
-
-    def put(self, name: str, change: Change) -> None:
+        # The generation of the newest change; -1: none.
+        self.last_changed = -1
+        # The subscriptions that name this service.
+        self.subscriptions: dict[Subscription, None] = {}
+        # Encoded once for all subscriptions: by a generation, the tombstones and the entries changed after
+        # it.
+        self.encoded_changes: dict[int, tuple[list[bytes], list[bytes]]] = {}
+
+    def record_change(self, name: str, change: Change) -> None:
+        """Stores an entry's last change as the newest one of the service."""
         self.changes.pop(name, None)
         self.changes[name] = change
-        self.changed = change.version
-        self.texts.clear()
-        for interest in self.interests:
-            interest.changed = change.version
-
-    def date_back(self, version: int) -> None:
-        """Nothing here has changed since."""
-        self.changes = {name: change._replace(version=version) for name, change in self.changes.items()}
-        self.changed = min(self.changed, version)
-        self.texts.clear()
-
-    def drop(self, name: str) -> None:
-        """Forget a tombstone."""
+        self.last_changed = change.generation
+        self.encoded_changes.clear()
+        for subscription in self.subscriptions:
+            subscription.last_changed = change.generation
+
+    def backdate(self, generation: int) -> None:
+        """Records that nothing in this service has changed since the given generation."""
+        self.changes = {name: change._replace(generation=generation) for name, change in self.changes.items()}
+        self.last_changed = min(self.last_changed, generation)
+        self.encoded_changes.clear()
+
+    def drop_tombstone(self, name: str) -> None:
+        """Forgets a tombstone."""
         self.changes.pop(name, None)
-        self.texts.clear()
-
-    def after(self, version: int) -> tuple[list[bytes], list[bytes]]:
-        """What changed after a generation, joined: tombstones, then entries; -1: all entries alone."""
-        known = self.texts.get(version)
-        if known is not None:
-            return known
-        gone: list[bytes] = []
-        there: list[bytes] = []
+        self.encoded_changes.clear()
+
+    def encode_changes(self, after: int) -> tuple[list[bytes], list[bytes]]:
+        """The tombstones and the entries changed after a generation, each joined into at most one text.
+
+        With `after` -1 these are all entries and no tombstones.
+        """
+        cached = self.encoded_changes.get(after)
+        if cached is not None:
+            return cached
+        removed: list[bytes] = []
+        present: list[bytes] = []
         for change in reversed(self.changes.values()):
-            if change.version <= version:
+            if change.generation <= after:
                 break
-            (gone if change.gone else there).append(change.text)
-        if version < 0:
-            gone = []
+            (removed if change.removed else present).append(change.encoded)
+        if after < 0:
+            removed = []
         joined = (
-            [b",".join(reversed(gone))] if gone else [],
-            [b",".join(reversed(there))] if there else [],
+            [b",".join(reversed(removed))] if removed else [],
+            [b",".join(reversed(present))] if present else [],
         )
-        if len(self.texts) >= TEXTS_MOST:
-            self.texts.clear()
-        self.texts[version] = joined
+        if len(self.encoded_changes) >= MAX_CACHED_TEXTS:
+            self.encoded_changes.clear()
+        self.encoded_changes[after] = joined
         return joined
 
 
-class Interest:
-    """The services that followers ask for, one object for all who ask for the same."""
+class Subscription:
+    """A set of services, shared by all followers that ask for the same ones."""
 
-    __slots__ = ("changed", "followers", "key", "parts", "texts")
+    __slots__ = ("encoded_objects", "follower_count", "key", "last_changed", "services")
 
-    def __init__(self, key: tuple[str, ...], parts: dict[str, Service]) -> None:
+    def __init__(self, key: tuple[str, ...], services: dict[str, Service]) -> None:
         self.key = key
-        # Its services; where none is named, all that there are.
-        self.parts = parts
-        self.followers = 0
-        # The generation of the last change in any of them.
-        self.changed = max((part.changed for part in parts.values()), default=-1)
-        # Whole objects as they were told last, by the generation they start from.
-        self.texts: dict[int, bytes] = {}
+        # The services named by the followers; where they name none, all services of the list.
+        self.services = services
+        self.follower_count = 0
+        # The generation of the last change in any of the services; -1: none.
+        self.last_changed = max((service.last_changed for service in services.values()), default=-1)
+        # The encoded objects up to the current generation, by the generation that they start from.
+        self.encoded_objects: dict[int, bytes] = {}
 
 
 class Cursor:
-    """How far a follower has been told."""
+    """A follower's position: the subscription and the last generation that the follower has received."""
 
-    __slots__ = ("epoch", "interest", "version", "whole")
+    __slots__ = ("epoch", "generation", "needs_snapshot", "subscription")
 
-    def __init__(self, interest: Interest, version: int, epoch: int, whole: bool) -> None:
-        self.interest = interest
-        # The last generation it was told, here or elsewhere, and of which history, -1: of another one.
-        self.version = version
+    def __init__(self, subscription: Subscription, generation: int, epoch: int, needs_snapshot: bool) -> None:
+        self.subscription = subscription
+        # The last generation received, from this relay or elsewhere (-1: none), and its epoch (-1: not the
+        # current one).
+        self.generation = generation
         self.epoch = epoch
-        # Whether nothing but a whole list can be right for it.
-        self.whole = whole
+        # Whether no delta can bring the follower up to date.
+        self.needs_snapshot = needs_snapshot
 
 
-class State:
+class ListState:
     """The list of one source at its newest generation."""
 
     __slots__ = (
-        "doubt", "entries", "epoch", "floor", "gaps", "interests", "services", "told_at", "tombstones",
-        "version",
+        "ambiguous_until", "delta_floor", "encoded_at", "entries", "epoch", "gaps", "generation", "services",
+        "subscriptions", "tombstones",
     )  # fmt: skip
 
     def __init__(self) -> None:
-        self.version = -1
-        # Histories are counted: a source that was set back begins another.
+        # The newest generation received; -1: no list yet.
+        self.generation = -1
+        # Counts the source's histories: a source that was reset to an earlier generation begins a new epoch.
         self.epoch = 0
-        # From here on changes can be told; before it only a whole list.
-        self.floor = 0
-        # From which generation to which one object came, the steps between them unknown.
+        # Followers at this generation or above can get deltas; below it they need a snapshot.
+        self.delta_floor = 0
+        # Ranges of generations that were received as one object, so that the steps between are unknown.
         self.gaps: list[tuple[int, int]] = []
-        # A generation up to this one may be of the history before: who comes with it gets a whole list.
-        self.doubt = 0
+        # Generations up to this one exist in an earlier epoch too, so a follower that comes with one of them
+        # gets a snapshot.
+        self.ambiguous_until = 0
         self.services: dict[str, Service] = {}
-        # The service of each entry there is.
+        # The service of each entry that exists, by the entry's name.
         self.entries: dict[str, Service] = {}
-        # The oldest tombstones first.
+        # The generation of each tombstone, by its service and name; the oldest first.
         self.tombstones: dict[tuple[str, str], int] = {}
-        self.interests: dict[tuple[str, ...], Interest] = {}
-        # Of which generation the texts of interests are.
-        self.told_at = (-1, -1)
+        self.subscriptions: dict[tuple[str, ...], Subscription] = {}
+        # The epoch and generation that the encoded objects of the subscriptions belong to.
+        self.encoded_at = (-1, -1)
 
-    # What the source tells.
+    # Updates from the source.
 
-    def take(self, told: Told, fresh: bool, after: int = -1) -> bool:
-        """One object of the source; whether it begins another history. Raises OutOfOrder, nothing taken then.
+    def apply_update(self, update: ListUpdate, is_first: bool, after: int = -1) -> bool:
+        """Applies one object of the source; true if it begins a new epoch.
 
-        `fresh`: it is the first sign on a link set anew, and `after` is the generation asked for there: only
-        then is an older word one that the source stands by.
+        `is_first` says that the object is the first thing received on a new watch, and `after` is the
+        generation that this watch asked from. Only then can an older object mean that the source itself was
+        reset: the source sent it knowing what is held here. Raises OutOfOrderUpdate, with nothing applied,
+        for any other older object.
         """
-        # Texts of the generation held are good no longer, also where it does not move.
-        self.told_at = (-1, -1)
-        if self.version < 0 and not told.whole:
-            raise OutOfOrder(f"changes of {told.version} without a list before")
-        if self.version < 0:
-            self.floor = told.version
-        elif told.version < self.version or (told.version == self.version and self._differs(told)):
-            if fresh and told.whole and (after < 0 or after >= self.version):
-                self._begin_anew(told.version)
-                self._fold(told)
+        # The cached objects are invalid from here on; a backfill changes them at the same generation.
+        self.encoded_at = (-1, -1)
+        if self.generation < 0 and not update.is_snapshot:
+            raise OutOfOrderUpdate(f"delta of generation {update.generation} before any snapshot")
+        if self.generation < 0:
+            self.delta_floor = update.generation
+        elif update.generation < self.generation or (
+            update.generation == self.generation and self._differs_from(update)
+        ):
+            if is_first and update.is_snapshot and (after < 0 or after >= self.generation):
+                self._begin_epoch(update.generation)
+                self._apply_snapshot(update)
                 return True
-            what = "older" if told.version < self.version else "other"
-            raise OutOfOrder(f"{what} words of generation {told.version}, held is {self.version}")
-        if told.whole:
-            self._fold(told)
+            what = "older" if update.generation < self.generation else "other"
+            raise OutOfOrderUpdate(
+                f"{what} data of generation {update.generation}, held is generation {self.generation}"
+            )
+        if update.is_snapshot:
+            self._apply_snapshot(update)
             return False
-        # Asked for from before the first list: the floor goes down to there, for all else is as it was then.
-        backfill = fresh and 0 <= after < self.version == self.floor
-        if backfill:
-            self.floor = after
+        # The watch asked from before the first snapshot. What this update doesn't name has not changed since
+        # then, so the floor for deltas goes down to `after`.
+        is_backfill = is_first and 0 <= after < self.generation == self.delta_floor
+        if is_backfill:
+            self.delta_floor = after
             for service in self.services.values():
-                service.date_back(after)
-        self._put_all(told, backfill)
+                service.backdate(after)
+        self._apply_entries(update, is_backfill)
         return False
 
-    def _differs(self, told: Told) -> bool:
-        there = told.there()
-        for line in told.lines:
-            held = self.entries.get(line.name)
-            if line.gone:
-                if held is not None and line.name not in there:
+    def _differs_from(self, update: ListUpdate) -> bool:
+        present = update.present_names()
+        for entry in update.entries:
+            service = self.entries.get(entry.name)
+            if entry.removed:
+                if service is not None and entry.name not in present:
                     return True
-            elif held is None or held.name != line.service or held.changes[line.name].text != line.text:
+            elif (
+                service is None
+                or service.name != entry.service
+                or service.changes[entry.name].encoded != entry.encoded
+            ):
                 return True
-        return told.whole and any(name not in there for name in self.entries)
+        return update.is_snapshot and any(name not in present for name in self.entries)
 
-    def _begin_anew(self, version: int) -> None:
+    def _begin_epoch(self, generation: int) -> None:
         self.epoch += 1
-        self.doubt = max(self.doubt, self.version)
-        self.floor = self.version = version
+        self.ambiguous_until = max(self.ambiguous_until, self.generation)
+        self.delta_floor = self.generation = generation
         self.gaps.clear()
         self.entries.clear()
         self.tombstones.clear()
         for service in self.services.values():
             service.changes.clear()
-            service.texts.clear()
-            service.changed = -1
-        for interest in self.interests.values():
-            interest.changed = version
-
-    def _fold(self, told: Told) -> None:
-        """A whole list: what it differs in has changed, what it lacks is gone."""
-        there = told.there()
-        for name in [name for name in self.entries if name not in there]:
-            self._remove(name, told.version, None)
-        self._put_all(told, again=False)
-
-    def _put_all(self, told: Told, again: bool) -> None:
-        there = told.there()
-        if told.lines and 0 <= self.version < told.version - 1:
-            # What came and went in between is not known here, nor perhaps where this comes from.
-            self.gaps.append((self.version, told.version))
-            if len(self.gaps) > GAPS_MOST:
-                self.floor = max(self.floor, self.gaps.pop(0)[1])
-        moved = {line.name: None for line in told.lines if line.gone and line.name in there}
-        for line in told.lines:
-            self._put(line, told.version, again, line.name in moved)
-        self.version = told.version
-        self._bury()
-
-    def _put(self, line: Line, version: int, again: bool, moved: bool) -> None:
-        """One line; `moved`: the same object tells that it is gone from one service and in another one."""
-        held = self.entries.get(line.name)
-        if line.gone:
-            if held is not None and (not moved or held.name == line.service):
-                self._remove(line.name, version, line.text)
-            if held is None or (held.name != line.service and line.service):
-                service = self._service(line.service)
-                # Also where a tombstone is there: it may have been back, and gone again, in what was folded.
-                if again or version > self.version or line.name not in service.changes:
-                    self._entomb(service, line.name, version, line.text)
+            service.encoded_changes.clear()
+            service.last_changed = -1
+        for subscription in self.subscriptions.values():
+            subscription.last_changed = generation
+
+    def _apply_snapshot(self, update: ListUpdate) -> None:
+        """Applies a snapshot as the changes it amounts to: missing entries are removed, the others updated."""
+        present = update.present_names()
+        for name in [name for name in self.entries if name not in present]:
+            self._remove_entry(name, update.generation, None)
+        self._apply_entries(update, is_backfill=False)
+
+    def _apply_entries(self, update: ListUpdate, is_backfill: bool) -> None:
+        present = update.present_names()
+        if update.entries and 0 <= self.generation < update.generation - 1:
+            # Entries that were added and removed between the two generations are unknown here, and may be
+            # unknown to the source of this object too.
+            self.gaps.append((self.generation, update.generation))
+            if len(self.gaps) > MAX_GAPS:
+                self.delta_floor = max(self.delta_floor, self.gaps.pop(0)[1])
+        moved = {entry.name: None for entry in update.entries if entry.removed and entry.name in present}
+        for entry in update.entries:
+            self._apply_entry(entry, update.generation, is_backfill, entry.name in moved)
+        self.generation = update.generation
+        self._trim_tombstones()
+
+    def _apply_entry(self, entry: EntryUpdate, generation: int, is_backfill: bool, is_moved: bool) -> None:
+        """Applies one entry; `is_moved`: this update removes it from one service and adds it to another."""
+        held = self.entries.get(entry.name)
+        if entry.removed:
+            if held is not None and (not is_moved or held.name == entry.service):
+                self._remove_entry(entry.name, generation, entry.encoded)
+            if held is None or (held.name != entry.service and entry.service):
+                service = self._get_or_create_service(entry.service)
+                # A later update replaces an existing tombstone too: the entry may have been added and removed
+                # again within the changes that the update coalesces.
+                if is_backfill or generation > self.generation or entry.name not in service.changes:
+                    self._add_tombstone(service, entry.name, generation, entry.encoded)
             return
-        if held is not None and held.name == line.service and held.changes[line.name].text == line.text:
-            if again or moved:
-                # Also where nothing is new about it: who is told that it is gone elsewhere must be told this.
-                held.put(line.name, Change(version, False, line.text))
-                self._all_changed(version)
+        if (
+            held is not None
+            and held.name == entry.service
+            and held.changes[entry.name].encoded == entry.encoded
+        ):
+            if is_backfill or is_moved:
+                # The entry is recorded as changed though it is the same: followers that get its tombstone
+                # from the other service must get the entry after that.
+                held.record_change(entry.name, Change(generation, False, entry.encoded))
+                self._mark_unfiltered_subscription(generation)
             return
-        if held is not None and held.name != line.service:
-            # It has moved: for those who follow its old service alone it is gone.
-            self._remove(line.name, version, None)
-        service = self._service(line.service)
-        self.tombstones.pop((service.name, line.name), None)
-        service.put(line.name, Change(version, False, line.text))
-        self.entries[line.name] = service
-        self._all_changed(version)
-
-    def _remove(self, name: str, version: int, text: bytes | None) -> None:
-        """Gone; the tombstone is the source's own word, or the entry with another lifecycle."""
+        if held is not None and held.name != entry.service:
+            # The entry has moved: followers of its old service alone must see it removed.
+            self._remove_entry(entry.name, generation, None)
+        service = self._get_or_create_service(entry.service)
+        self.tombstones.pop((service.name, entry.name), None)
+        service.record_change(entry.name, Change(generation, False, entry.encoded))
+        self.entries[entry.name] = service
+        self._mark_unfiltered_subscription(generation)
+
+    def _remove_entry(self, name: str, generation: int, encoded: bytes | None) -> None:
+        """Replaces an entry by a tombstone: the source's own text or, with None, the entry marked as gone."""
         service = self.entries.pop(name)
-        if text is None:
-            text = _gone(service.changes[name].text)
-        self._entomb(service, name, version, text)
+        if encoded is None:
+            encoded = _encode_tombstone(service.changes[name].encoded)
+        self._add_tombstone(service, name, generation, encoded)
 
-    def _entomb(self, service: Service, name: str, version: int, text: bytes) -> None:
-        service.put(name, Change(version, True, text))
+    def _add_tombstone(self, service: Service, name: str, generation: int, encoded: bytes) -> None:
+        service.record_change(name, Change(generation, True, encoded))
         self.tombstones.pop((service.name, name), None)
-        self.tombstones[service.name, name] = version
-        self._all_changed(version)
+        self.tombstones[service.name, name] = generation
+        self._mark_unfiltered_subscription(generation)
 
-    def _bury(self) -> None:
-        """Tombstones beyond their number go, the oldest first; who missed one of these needs a whole list."""
-        while len(self.tombstones) > TOMBSTONES_MOST:
-            (service, name), version = next(iter(self.tombstones.items()))
+    def _trim_tombstones(self) -> None:
+        """Drops the oldest tombstones beyond the limit; a follower that missed one needs a snapshot."""
+        while len(self.tombstones) > MAX_TOMBSTONES:
+            (service, name), generation = next(iter(self.tombstones.items()))
             del self.tombstones[service, name]
-            self.services[service].drop(name)
-            self.floor = max(self.floor, version)
+            self.services[service].drop_tombstone(name)
+            self.delta_floor = max(self.delta_floor, generation)
 
-    def _all_changed(self, version: int) -> None:
-        if (every := self.interests.get(())) is not None:
-            every.changed = version
+    def _mark_unfiltered_subscription(self, generation: int) -> None:
+        """Records the change at the subscription to all services, which no service refers to."""
+        if (subscription := self.subscriptions.get(())) is not None:
+            subscription.last_changed = generation
 
-    def _service(self, name: str) -> Service:
+    def _get_or_create_service(self, name: str) -> Service:
         service = self.services.get(name)
         if service is None:
             service = self.services[name] = Service(name)
         return service
 
-    # What followers are told.
+    # Updates for the followers.
+
+    def add_follower(self, services: Iterable[str], after: int) -> Cursor:
+        """Registers a follower that has received generation `after` (-1: nothing) and returns its cursor.
 
-    def follow(self, services: Iterable[str], after: int) -> Cursor:
-        """A follower that has been told up to `after`, -1: nothing. `leave` when it has gone."""
+        No services named means all services. The caller passes the cursor to `remove_follower` at the end.
+        """
         key = tuple(sorted(dict.fromkeys(services)))
-        interest = self.interests.get(key)
-        if interest is None:
-            parts = {name: self._service(name) for name in key} if key else self.services
-            interest = self.interests[key] = Interest(key, parts)
+        subscription = self.subscriptions.get(key)
+        if subscription is None:
+            subscribed = {name: self._get_or_create_service(name) for name in key} if key else self.services
+            subscription = self.subscriptions[key] = Subscription(key, subscribed)
             for name in key:
-                parts[name].interests[interest] = None
-        interest.followers += 1
-        whole = after < max(self.floor, self.doubt) or self._is_lost(after)
-        return Cursor(interest, after, self.epoch if after >= 0 else -1, whole)
-
-    def leave(self, cursor: Cursor) -> None:
-        interest = cursor.interest
-        interest.followers -= 1
-        if interest.followers:
+                subscribed[name].subscriptions[subscription] = None
+        subscription.follower_count += 1
+        needs_snapshot = after < max(self.delta_floor, self.ambiguous_until) or self._is_in_gap(after)
+        return Cursor(subscription, after, self.epoch if after >= 0 else -1, needs_snapshot)
+
+    def remove_follower(self, cursor: Cursor) -> None:
+        """Ends a follower's subscription and forgets services that are empty and no longer subscribed to."""
+        subscription = cursor.subscription
+        subscription.follower_count -= 1
+        if subscription.follower_count:
             return
-        del self.interests[interest.key]
-        for name in interest.key:
-            part = self.services[name]
-            del part.interests[interest]
-            if not part.interests and not part.changes:
+        del self.subscriptions[subscription.key]
+        for name in subscription.key:
+            service = self.services[name]
+            del service.subscriptions[subscription]
+            if not service.subscriptions and not service.changes:
                 del self.services[name]
 
     def is_ahead(self, cursor: Cursor) -> bool:
-        """Whether it has heard elsewhere what is not held here yet; nothing is told until that is clear."""
-        return cursor.version > self.version and cursor.epoch == self.epoch
+        """Whether a follower has received a newer generation elsewhere than the one held here.
 
-    def deny(self, cursor: Cursor, version: int) -> None:
-        """The source, asked since this follower came, is at a lower generation: it is of another history.
+        Such a follower is sent nothing until it is clear whether its generation is of the current epoch.
+        """
+        return cursor.generation > self.generation and cursor.epoch == self.epoch
+
+    def invalidate_if_ahead(self, cursor: Cursor, source_generation: int) -> None:
+        """Treats a follower's generation as one of another epoch if the source itself is behind that.
 
-        Nothing is clear where what is held here is above that too; it has to be asked for anew first.
+        The source was asked after the follower came. Nothing follows where the list held here is ahead of the
+        source too; then the list has to be fetched again first.
         """
-        if self.is_ahead(cursor) and cursor.version > version >= self.version:
+        if self.is_ahead(cursor) and cursor.generation > source_generation >= self.generation:
             cursor.epoch = -1
 
-    def _is_lost(self, version: int) -> bool:
-        """Whether it lies within what came here folded, so that it may have heard what is not known here."""
-        at = bisect_left(self.gaps, (version, 0)) - 1
-        return at >= 0 and version < self.gaps[at][1]
+    def _is_in_gap(self, generation: int) -> bool:
+        """Whether a generation lies inside a gap, so that a follower there may know entries unknown here."""
+        at = bisect_left(self.gaps, (generation, 0)) - 1
+        return at >= 0 and generation < self.gaps[at][1]
 
-    def has_news(self, cursor: Cursor) -> bool:
+    def has_update(self, cursor: Cursor) -> bool:
+        """Whether a follower has to be sent a delta or a snapshot."""
         if cursor.epoch != self.epoch:
-            return self.version >= 0
-        if cursor.version > self.version:
+            return self.generation >= 0
+        if cursor.generation > self.generation:
             return False
-        if cursor.whole or cursor.interest.changed > cursor.version:
+        if cursor.needs_snapshot or cursor.subscription.last_changed > cursor.generation:
             return True
-        return bool(self.gaps) and self._is_lost(cursor.version)
-
-    def news(self, cursor: Cursor) -> bytes:
-        """What it has not been told, in one object that counts as told from now on."""
-        version = cursor.version
-        whole = cursor.whole or cursor.epoch != self.epoch or version < self.floor or self._is_lost(version)
-        text = self._told(cursor.interest, -1 if whole else cursor.version)
-        cursor.version, cursor.epoch, cursor.whole = self.version, self.epoch, False
+        return bool(self.gaps) and self._is_in_gap(cursor.generation)
+
+    def encode_update(self, cursor: Cursor) -> bytes:
+        """Encodes what a follower has not received as one object, and moves its cursor to the present."""
+        generation = cursor.generation
+        is_snapshot = (
+            cursor.needs_snapshot
+            or cursor.epoch != self.epoch
+            or generation < self.delta_floor
+            or self._is_in_gap(generation)
+        )
+        text = self._encode_object(cursor.subscription, -1 if is_snapshot else cursor.generation)
+        cursor.generation, cursor.epoch, cursor.needs_snapshot = self.generation, self.epoch, False
         return text
 
-    def beat(self, cursor: Cursor) -> bytes:
-        """The sign that the source lives, for who has no news: a blank line, or the generation if that moved.
+    def encode_heartbeat(self, cursor: Cursor) -> bytes:
+        """Encodes the sign that the source is alive, for a follower that has no update to receive.
 
-        Whoever knows the generation of now is told little wherever it goes on. Empty: nothing may be told.
+        The sign is a blank line, or an empty delta where the generation has risen: a follower that knows the
+        current generation needs only a small delta when it goes on elsewhere. A follower that is ahead is
+        sent nothing, so the result is empty.
         """
         if self.is_ahead(cursor):
             return b""
-        if cursor.version == self.version:
+        if cursor.generation == self.generation:
             return b"\n"
-        cursor.version = self.version
-        return b'{"generation":%d,"reset":false,"instances":[]}\n' % self.version
-
-    def _told(self, interest: Interest, after: int) -> bytes:
-        if self.told_at != (self.epoch, self.version):
-            self.told_at = (self.epoch, self.version)
-            for known in self.interests.values():
-                known.texts.clear()
-        text = interest.texts.get(after)
+        cursor.generation = self.generation
+        return b'{"generation":%d,"reset":false,"instances":[]}\n' % self.generation
+
+    def _encode_object(self, subscription: Subscription, after: int) -> bytes:
+        """Encodes the delta after a generation, or the snapshot for -1; the text is cached for other followers."""
+        if self.encoded_at != (self.epoch, self.generation):
+            self.encoded_at = (self.epoch, self.generation)
+            for each in self.subscriptions.values():
+                each.encoded_objects.clear()
+        text = subscription.encoded_objects.get(after)
         if text is None:
-            gone: list[bytes] = []
-            there: list[bytes] = []
-            for part in interest.parts.values():
-                if part.changed > after:
-                    away, here = part.after(after)
-                    gone += away
-                    there += here
-            # An entry that moved from one service to another is gone first and then there.
+            removed: list[bytes] = []
+            present: list[bytes] = []
+            for service in subscription.services.values():
+                if service.last_changed > after:
+                    service_removed, service_present = service.encode_changes(after)
+                    removed += service_removed
+                    present += service_present
+            # Tombstones come before entries, so that an entry that moved between services ends up present.
             text = b'{"generation":%d,"reset":%b,"instances":[%b]}\n' % (
-                self.version,
+                self.generation,
                 b"true" if after < 0 else b"false",
-                b",".join(gone + there),
+                b",".join(removed + present),
             )
-            if len(interest.texts) >= TEXTS_MOST:
-                interest.texts.clear()
-            if interest.followers > 1:
-                interest.texts[after] = text
+            if len(subscription.encoded_objects) >= MAX_CACHED_TEXTS:
+                subscription.encoded_objects.clear()
+            if subscription.follower_count > 1:
+                subscription.encoded_objects[after] = text
         return text
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -198,7 +198,7 @@
             big = "x" * 300_000
             for count in range(40):
                 source.change(of("a", "a1", note=big, cell=count))
-                await until(lambda: relay.state.version == source.version)
+                await until(lambda: relay.state.generation == source.version)
                 self.assertLess(slow.transport.get_write_buffer_size(), 700_000)
             self.assertLess(relay.objects_told, 30)
             told = relay.objects_told
@@ -279,8 +279,12 @@
             ("unreadable", cut.replace(b"instanceId", b"id"), "unreadable, KeyError"),
             ("no object", b"[1]\n", "no object begins"),
             ("oversized", b"{" + b" " * 3000, "more than 2000 bytes"),
-            ("out of order", line(9, False, of("a", "bad")), "older words of generation 9, held is 10"),
-            ("out of order, whole", line(9, True, of("a", "bad")), "older words of generation 9"),
+            (
+                "out of order",
+                line(9, False, of("a", "bad")),
+                "older data of generation 9, held is generation 10",
+            ),
+            ("out of order, whole", line(9, True, of("a", "bad")), "older data of generation 9"),
         ):
             source = await self.source()
             with (
@@ -431,7 +435,7 @@
                 await discovery.close()
                 await until(lambda: not good.followers)
                 source.version -= 1
-                good.state.version = 10
+                good.state.generation = 10
 
     async def test_all_failed_is_told_and_orders_differ(self) -> None:
         failed = asyncio.Event()
--- a/tests/test_relay_state.py
+++ b/tests/test_relay_state.py
@@ -10,7 +10,7 @@
 
 from coraldeal.relay import state as state_module
 from coraldeal.relay.route import MAX_RETRY_DELAY_US, STALE_AGE_US, SourceSelector
-from coraldeal.relay.state import Cursor, OutOfOrder, State, Unusable, read_told
+from coraldeal.relay.state import Cursor, InvalidUpdate, ListState, OutOfOrderUpdate, parse_update
 from tests.standins import entry, server_list
 
 
@@ -18,15 +18,15 @@
     return {**entry(name, "127.0.0.1:1", lifecycle), "service": service, **more}
 
 
-def take(state: State, told: dict[str, Any], fresh: bool = False, after: int = -1) -> bool:
-    return state.take(read_told(json.dumps(told).encode()), fresh, after)
+def take(state: ListState, told: dict[str, Any], fresh: bool = False, after: int = -1) -> bool:
+    return state.apply_update(parse_update(json.dumps(told).encode()), fresh, after)
 
 
-def told(state: State, cursor: Cursor) -> tuple[int, bool, list[str]] | None:
+def told(state: ListState, cursor: Cursor) -> tuple[int, bool, list[str]] | None:
     """What a follower is told now: generation, reset, and names with a sign for those that are gone."""
-    if not state.has_news(cursor):
+    if not state.has_update(cursor):
         return None
-    values = json.loads(state.news(cursor))
+    values = json.loads(state.encode_update(cursor))
     names = [
         ("-" if item["lifecycle"] == "Gone" else "") + item["instanceId"] for item in values["instances"]
     ]
@@ -35,14 +35,14 @@
 
 class StateCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.state = State()
+        self.state = ListState()
         take(self.state, server_list(10, True, of("a", "a1"), of("a", "a2"), of("b", "b1")))
 
 
 class Followers(StateCase):
     def test_only_what_was_asked_for(self) -> None:
-        of_a, of_b = self.state.follow(["a"], -1), self.state.follow(["b", "b"], -1)
-        every = self.state.follow([], -1)
+        of_a, of_b = self.state.add_follower(["a"], -1), self.state.add_follower(["b", "b"], -1)
+        every = self.state.add_follower([], -1)
         self.assertEqual(told(self.state, of_a), (10, True, ["a1", "a2"]))
         self.assertEqual(told(self.state, of_b), (10, True, ["b1"]))
         self.assertEqual(told(self.state, every), (10, True, ["a1", "a2", "b1"]))
@@ -51,49 +51,50 @@
         self.assertEqual(told(self.state, of_b), (11, False, ["b2"]))
         self.assertEqual(told(self.state, every), (11, False, ["b2"]))
         # A service that has nothing yet, and one that nobody asks for any more.
-        later = self.state.follow(["later", "a"], 11)
+        later = self.state.add_follower(["later", "a"], 11)
         take(self.state, server_list(12, False, of("later", "x")))
         self.assertEqual(told(self.state, later), (12, False, ["x"]))
-        self.state.leave(of_b)
-        self.state.leave(self.state.follow(["never"], 3))
-        self.assertEqual((list(self.state.services), len(self.state.interests)), (["a", "b", "later"], 3))
+        self.state.remove_follower(of_b)
+        self.state.remove_follower(self.state.add_follower(["never"], 3))
+        self.assertEqual((list(self.state.services), len(self.state.subscriptions)), (["a", "b", "later"], 3))
 
     def test_a_change_is_encoded_once_for_all_who_ask_for_the_same(self) -> None:
-        cursors = [self.state.follow(("a", "b") if i % 2 else ("b", "a"), 10) for i in range(20)]
-        with mock.patch.object(state_module, "_text", wraps=state_module._text) as encoded:
+        cursors = [self.state.add_follower(("a", "b") if i % 2 else ("b", "a"), 10) for i in range(20)]
+        with mock.patch.object(state_module, "_encode_entry", wraps=state_module._encode_entry) as encoded:
             take(self.state, server_list(11, False, of("a", "a1", "Terminating")))
-            texts = [self.state.news(cursor) for cursor in cursors]
+            texts = [self.state.encode_update(cursor) for cursor in cursors]
         self.assertEqual(encoded.call_count, 1)
         self.assertTrue(all(text is texts[0] for text in texts))
 
     def test_fields_not_known_here_go_on_unchanged(self) -> None:
         odd = of("a", "a3", weight=1e-7, note={"x": [1, None, "é"]}, startedAtMs=12345678901234)
         take(self.state, server_list(11, False, odd))
-        values = json.loads(self.state.news(self.state.follow(["a"], 10)))
+        values = json.loads(self.state.encode_update(self.state.add_follower(["a"], 10)))
         self.assertEqual(values["instances"], [odd])
 
     def test_what_was_not_taken_is_folded(self) -> None:
-        slow = self.state.follow(["a"], 10)
+        slow = self.state.add_follower(["a"], 10)
         for version in range(11, 500):
             take(self.state, server_list(version, False, of("a", "a1", cell=version), of("b", f"b{version}")))
         take(self.state, server_list(500, False, of("a", "a2", "Gone")))
-        text = self.state.news(slow)
+        text = self.state.encode_update(slow)
         self.assertEqual([item["cell"] for item in json.loads(text)["instances"]], [0, 499])
         self.assertEqual([item["lifecycle"] for item in json.loads(text)["instances"]], ["Gone", "Ready"])
-        self.assertFalse(self.state.has_news(slow))
+        self.assertFalse(self.state.has_update(slow))
 
     def test_a_beat_tells_who_has_no_news_the_generation(self) -> None:
-        quiet = self.state.follow(["a"], 10)
-        self.assertEqual(self.state.beat(quiet), b"\n")
+        quiet = self.state.add_follower(["a"], 10)
+        self.assertEqual(self.state.encode_heartbeat(quiet), b"\n")
         take(self.state, server_list(11, False, of("b", "b2")))
-        self.assertFalse(self.state.has_news(quiet))
+        self.assertFalse(self.state.has_update(quiet))
         self.assertEqual(
-            json.loads(self.state.beat(quiet)), {"generation": 11, "reset": False, "instances": []}
+            json.loads(self.state.encode_heartbeat(quiet)),
+            {"generation": 11, "reset": False, "instances": []},
         )
-        self.assertEqual(self.state.beat(quiet), b"\n")
+        self.assertEqual(self.state.encode_heartbeat(quiet), b"\n")
 
     def test_one_that_moves_to_another_service_is_gone_from_the_old(self) -> None:
-        old, new, both = (self.state.follow(services, 10) for services in (["a"], ["b"], ["a", "b"]))
+        old, new, both = (self.state.add_follower(services, 10) for services in (["a"], ["b"], ["a", "b"]))
         take(self.state, server_list(11, False, of("b", "a1")))
         self.assertEqual(told(self.state, old), (11, False, ["-a1"]))
         self.assertEqual(told(self.state, new), (11, False, ["a1"]))
@@ -106,31 +107,31 @@
 class Floors(StateCase):
     def test_below_the_floor_only_the_whole_list_of_its_services(self) -> None:
         take(self.state, server_list(11, False, of("a", "a3")))
-        self.assertEqual(told(self.state, self.state.follow(["a"], 10)), (11, False, ["a3"]))
-        self.assertEqual(told(self.state, self.state.follow(["a"], 9)), (11, True, ["a1", "a2", "a3"]))
+        self.assertEqual(told(self.state, self.state.add_follower(["a"], 10)), (11, False, ["a3"]))
+        self.assertEqual(told(self.state, self.state.add_follower(["a"], 9)), (11, True, ["a1", "a2", "a3"]))
 
     def test_tombstones_are_bounded_and_raise_the_floor(self) -> None:
-        behind = self.state.follow(["a"], 10)
-        with mock.patch.object(state_module, "TOMBSTONES_MOST", 3):
+        behind = self.state.add_follower(["a"], 10)
+        with mock.patch.object(state_module, "MAX_TOMBSTONES", 3):
             for version in range(11, 23, 2):
                 take(self.state, server_list(version, False, of("a", f"x{version}")))
                 take(self.state, server_list(version + 1, False, of("a", f"x{version}", "Gone")))
-        self.assertEqual((len(self.state.tombstones), self.state.floor), (3, 16))
+        self.assertEqual((len(self.state.tombstones), self.state.delta_floor), (3, 16))
         self.assertEqual(told(self.state, behind), (22, True, ["a1", "a2"]))
-        self.assertEqual(told(self.state, self.state.follow(["a"], 15)), (22, True, ["a1", "a2"]))
-        late = self.state.follow(["a"], 16)
+        self.assertEqual(told(self.state, self.state.add_follower(["a"], 15)), (22, True, ["a1", "a2"]))
+        late = self.state.add_follower(["a"], 16)
         self.assertEqual(told(self.state, late), (22, False, ["-x17", "-x19", "-x21"]))
 
     def test_a_new_relay_knows_what_was_missed_before_its_own_start(self) -> None:
         # Its first watch asks from before its first list; so followers of one that died get changes.
         take(self.state, server_list(10, False, of("a", "a2"), of("b", "old", "Gone")), fresh=True, after=4)
-        self.assertEqual(self.state.floor, 4)
-        self.assertEqual(told(self.state, self.state.follow([], 4)), (10, False, ["-old", "a2"]))
-        self.assertEqual(told(self.state, self.state.follow([], 3)), (10, True, ["a1", "a2", "b1"]))
-        self.assertIsNone(told(self.state, self.state.follow([], 10)))
+        self.assertEqual(self.state.delta_floor, 4)
+        self.assertEqual(told(self.state, self.state.add_follower([], 4)), (10, False, ["-old", "a2"]))
+        self.assertEqual(told(self.state, self.state.add_follower([], 3)), (10, True, ["a1", "a2", "b1"]))
+        self.assertIsNone(told(self.state, self.state.add_follower([], 10)))
 
     def test_a_whole_list_of_the_source_comes_to_changes(self) -> None:
-        cursor = self.state.follow([], 10)
+        cursor = self.state.add_follower([], 10)
         again = server_list(20, True, of("a", "a1"), of("b", "b1", "Terminating"), of("b", "b2"))
         self.assertFalse(take(self.state, again, fresh=True, after=10))
         self.assertEqual(told(self.state, cursor), (20, False, ["-a2", "b1", "b2"]))
@@ -138,7 +139,7 @@
 
 class Histories(StateCase):
     def test_an_older_word_counts_only_on_a_link_set_anew(self) -> None:
-        cursor = self.state.follow(["a"], 10)
+        cursor = self.state.add_follower(["a"], 10)
         older = server_list(5, True, of("a", "a1"), of("a", "old"))
         for late in (
             older,
@@ -146,35 +147,35 @@
             server_list(10, False, of("a", "a1", "Terminating")),
             server_list(10, True, of("a", "a1")),
         ):
-            with self.subTest(late["generation"]), self.assertRaises(OutOfOrder):
+            with self.subTest(late["generation"]), self.assertRaises(OutOfOrderUpdate):
                 take(self.state, late)
-            self.assertEqual((self.state.version, told(self.state, cursor)), (10, None))
+            self.assertEqual((self.state.generation, told(self.state, cursor)), (10, None))
         # The same said again is no news, and changes alone are never another history.
         take(self.state, server_list(10, True, of("a", "a1"), of("a", "a2"), of("b", "b1")))
-        with self.assertRaises(OutOfOrder):
+        with self.assertRaises(OutOfOrderUpdate):
             take(self.state, server_list(5, False, of("a", "old")), fresh=True, after=10)
         self.assertTrue(take(self.state, older, fresh=True, after=10))
         self.assertEqual(told(self.state, cursor), (5, True, ["a1", "old"]))
         # Who comes with a generation that both histories have may be of either.
         take(self.state, server_list(9, False, of("a", "new")))
-        self.assertEqual(told(self.state, self.state.follow(["a"], 8)), (9, True, ["a1", "old", "new"]))
+        self.assertEqual(told(self.state, self.state.add_follower(["a"], 8)), (9, True, ["a1", "old", "new"]))
         take(self.state, server_list(10, False, of("a", "new", "Terminating")))
         take(self.state, server_list(11, False, of("a", "new", "Gone")))
-        self.assertEqual(told(self.state, self.state.follow(["a"], 10)), (11, False, ["-new"]))
+        self.assertEqual(told(self.state, self.state.add_follower(["a"], 10)), (11, False, ["-new"]))
 
     def test_a_follower_ahead_is_told_nothing_older(self) -> None:
-        ahead = self.state.follow(["a"], 12)
+        ahead = self.state.add_follower(["a"], 12)
         take(self.state, server_list(11, False, of("a", "a1", "Ready", cell=1)))
-        self.assertEqual((told(self.state, ahead), self.state.beat(ahead)), (None, b""))
+        self.assertEqual((told(self.state, ahead), self.state.encode_heartbeat(ahead)), (None, b""))
         take(self.state, server_list(12, False, of("a", "a1", "Terminating")))
-        self.assertEqual((told(self.state, ahead), self.state.beat(ahead)), (None, b"\n"))
+        self.assertEqual((told(self.state, ahead), self.state.encode_heartbeat(ahead)), (None, b"\n"))
         take(self.state, server_list(13, False, of("a", "a1", "Gone")))
         self.assertEqual(told(self.state, ahead), (13, False, ["-a1"]))
 
     def test_only_the_sources_own_lower_generation_makes_it_one_of_another_history(self) -> None:
-        near, far = self.state.follow(["a"], 12), self.state.follow(["a"], 40)
-        self.state.deny(near, 12)
-        self.state.deny(far, 12)
+        near, far = self.state.add_follower(["a"], 12), self.state.add_follower(["a"], 40)
+        self.state.invalidate_if_ahead(near, 12)
+        self.state.invalidate_if_ahead(far, 12)
         self.assertIsNone(told(self.state, near))
         self.assertEqual(told(self.state, far), (10, True, ["a1", "a2"]))
 
@@ -200,13 +201,13 @@
             good.replace('"startedAtMs": 0', '"startedAtMs": 1e999'),
             good.replace('"cell": 0', '"cell": "x"'),
         ):
-            with self.subTest(text[:80]), self.assertRaisesRegex(Unusable, "unreadable, .* in b"):
-                read_told(text.encode())
-        self.assertEqual(read_told(good.encode()).version, 11)
+            with self.subTest(text[:80]), self.assertRaisesRegex(InvalidUpdate, "unreadable, .* in b"):
+                parse_update(text.encode())
+        self.assertEqual(parse_update(good.encode()).generation, 11)
 
     def test_changes_before_any_list_are_turned_down(self) -> None:
-        with self.assertRaises(OutOfOrder):
-            take(State(), server_list(3, False, of("a", "a1")), fresh=True)
+        with self.assertRaises(OutOfOrderUpdate):
+            take(ListState(), server_list(3, False, of("a", "a1")), fresh=True)
 
 
 class Routes(unittest.TestCase):
@@ -288,7 +289,7 @@
             self.assertEqual(nodes[key].wholes, 1)
 
 
-# A made-up network round `State`: a source with a log, relays, and readers that are a node's list.
+# A made-up network round `ListState`: a source with a log, relays, and readers that are a node's list.
 
 
 class Pipe:
@@ -380,7 +381,7 @@
 
     def __init__(self, origin: Origin) -> None:
         self.origin = origin
-        self.state = State()
+        self.state = ListState()
         self.pipe: Pipe | None = None
         self.source: Origin | Site = origin
         self.asks_whole = False
@@ -389,15 +390,15 @@
         self.history = 0
 
     def holds(self) -> dict[str, Any]:
-        return {name: json.loads(part.changes[name].text) for name, part in self.state.entries.items()}
+        return {name: json.loads(part.changes[name].encoded) for name, part in self.state.entries.items()}
 
     def is_ready(self) -> bool:
-        return self.state.version >= 0
+        return self.state.generation >= 0
 
     def whole(self) -> bytes:
-        cursor = self.state.follow((), -1)
-        text = self.state.news(cursor)
-        self.state.leave(cursor)
+        cursor = self.state.add_follower((), -1)
+        text = self.state.encode_update(cursor)
+        self.state.remove_follower(cursor)
         return text
 
     def link(self, source: Origin | Site | None = None) -> None:
@@ -405,12 +406,12 @@
         self.source = source or self.source
         if isinstance(self.source, Site) and not self.source.is_ready():
             return
-        after = self.state.version
+        after = self.state.generation
         if after < 0 or self.asks_whole:
             assert not self.asks_whole or isinstance(self.source, Origin), "a relay told older words"
             self.asks_whole = False
-            self.state.take(read_told(self.source.whole()), True)
-            after = max(0, self.state.version - 12) if after < 0 else self.state.version
+            self.state.apply_update(parse_update(self.source.whole()), True)
+            after = max(0, self.state.generation - 12) if after < 0 else self.state.generation
         self.pipe = self.source.open(after)
         if not self.pipe.texts:
             self.history = self.pipe.history
@@ -428,7 +429,7 @@
     def open(self, after: int, services: tuple[str, ...] = ()) -> Pipe:
         pipe = Pipe(after)
         pipe.history = self.history
-        cursor = self.state.follow(services, after)
+        cursor = self.state.add_follower(services, after)
         self.followers.append((cursor, pipe))
         self.push()
         if self.state.is_ahead(cursor):
@@ -438,26 +439,26 @@
     def drop(self, pipe: Pipe) -> None:
         for known in [known for known in self.followers if known[1] is pipe]:
             self.followers.remove(known)
-            self.state.leave(known[0])
+            self.state.remove_follower(known[0])
 
     def ask(self, after: int) -> int | None:
         """Up to the source, and back down."""
-        if self.pipe is None or after <= self.state.version:
+        if self.pipe is None or after <= self.state.generation:
             return None
         version = self.source.ask(after)
         if version is None:
             return None
-        if version < self.state.version:
+        if version < self.state.generation:
             self.cut()
             return None
         for cursor, _ in self.followers:
-            self.state.deny(cursor, version)
+            self.state.invalidate_if_ahead(cursor, version)
         self.push()
-        return self.state.version
+        return self.state.generation
 
     def clear_up(self) -> None:
         """As the relay does each second while a follower is ahead, also where its link was away at first."""
-        ahead = [cursor.version for cursor, _ in self.followers if self.state.is_ahead(cursor)]
+        ahead = [cursor.generation for cursor, _ in self.followers if self.state.is_ahead(cursor)]
         if ahead:
             self.ask(max(ahead))
 
@@ -476,13 +477,13 @@
             pipe.fresh = False
             return True
         try:
-            told = read_told(text)
-            self.state.take(told, pipe.fresh, pipe.after)
-        except OutOfOrder:
-            self.asks_whole = pipe.fresh and pipe.after >= self.state.version
+            told = parse_update(text)
+            self.state.apply_update(told, pipe.fresh, pipe.after)
+        except OutOfOrderUpdate:
+            self.asks_whole = pipe.fresh and pipe.after >= self.state.generation
             self.cut()
         else:
-            if told.whole:
+            if told.is_snapshot:
                 pipe.history = self.source.history
             self.history = pipe.history
         pipe.fresh = False
@@ -497,9 +498,9 @@
         for cursor, pipe in self.followers:
             if pipe.texts:
                 continue
-            if self.state.has_news(cursor):
-                pipe.texts.append(self.state.news(cursor))
-            elif beats and (text := self.state.beat(cursor)):
+            if self.state.has_update(cursor):
+                pipe.texts.append(self.state.encode_update(cursor))
+            elif beats and (text := self.state.encode_heartbeat(cursor)):
                 pipe.texts.append(text)
 
     def restart(self) -> None:
@@ -507,7 +508,7 @@
         for _, pipe in self.followers:
             pipe.open = False
         self.followers.clear()
-        self.state = State()
+        self.state = ListState()
         self.asks_whole = False
 
 
@@ -649,7 +650,7 @@
                 if reader.pipe is None:
                     reader.go(sites[number % len(sites)])
                 reader.take_all()
-                if reader.site is not None and reader.site.state.version < reader.version:
+                if reader.site is not None and reader.site.state.generation < reader.version:
                     reader.site.ask(reader.version)
         for site in sites:
             self.assertEqual(site.holds(), origin.entries, f"seed {seed}")
@@ -686,7 +687,7 @@
             site.take_one()
 
     def has_heard(self, each: Site | Reader, origin: Origin) -> bool:
-        version = each.state.version if isinstance(each, Site) else each.version
+        version = each.state.generation if isinstance(each, Site) else each.version
         services = () if isinstance(each, Site) else each.services
         if version < 0:
             return True
@@ -701,7 +702,7 @@
 
     def test_all_end_with_what_the_source_holds_and_no_server_goes_back(self) -> None:
         set_back = 0
-        with mock.patch.object(state_module, "TOMBSTONES_MOST", 6):
+        with mock.patch.object(state_module, "MAX_TOMBSTONES", 6):
             # The last: a follower that is ahead comes while the link of its relay is away.
             for seed in (*range(16), 166):
                 with self.subTest(seed):
