--- a/coraldeal/relay/state.py
+++ b/coraldeal/relay/state.py
@@ -312,7 +312,7 @@
             subscription.last_changed = generation
 
     def _apply_snapshot(self, update: ListUpdate) -> None:
-        """Applies a snapshot as the changes it amounts to: missing entries are removed, the others updated."""
+        """Applies a snapshot as changes: entries missing from it are removed, the others updated."""
         present = update.present_names()
         for name in [name for name in self.entries if name not in present]:
             self._remove_entry(name, update.generation, None)
@@ -487,7 +487,7 @@
         return b'{"generation":%d,"reset":false,"instances":[]}\n' % self.generation
 
     def _encode_object(self, subscription: Subscription, after: int) -> bytes:
-        """Encodes the delta after a generation, or the snapshot for -1; the text is cached for other followers."""
+        """Encodes the delta after a generation, or the snapshot for -1; caches it for the other followers."""
         if self.encoded_at != (self.epoch, self.generation):
             self.encoded_at = (self.epoch, self.generation)
             for each in self.subscriptions.values():
