--- a/coraldeal/relay/link.py
+++ b/coraldeal/relay/link.py
@@ -1,4 +1,7 @@
-"""The relay's own watch at its source. I/O alone: `ListState` and `SourceSelector` decide."""
+"""The relay's own watch at its source.
+
+The module does the I/O alone: `SourceSelector` selects the source and `ListState` applies what it sends.
+"""
 
 from __future__ import annotations
 
@@ -23,26 +26,26 @@
 
 log = logging.getLogger(__name__)
 
-# How long a connection may take to come up, a whole list to be there, and a question about a generation to be
-# answered, in seconds.
-CONNECT_WAIT = 0.6
-LIST_WAIT = 5.0
-ASK_WAIT = 2.0
+# Timeouts in seconds: for a connection to be established, for a snapshot to be received whole, and for the
+# answer to a question about the source's generation.
+CONNECT_TIMEOUT_S = 0.6
+SNAPSHOT_TIMEOUT_S = 5.0
+GENERATION_QUERY_TIMEOUT_S = 2.0
 
 
-def clock() -> int:
-    """Monotonic, in whole microseconds."""
+def monotonic_us() -> int:
+    """The monotonic time in whole microseconds."""
     return time.monotonic_ns() // 1000
 
 
-def _age_us(answer: aiohttp.ClientResponse) -> int:
-    """How old the source's word is, by the answer's own head; today's discovery is the source itself."""
-    text = answer.headers.get("Age", "0")
+def _parse_age_us(response: aiohttp.ClientResponse) -> int:
+    """The age of the data by the `Age` header. Discovery, the source itself, sends none: its age is 0."""
+    text = response.headers.get("Age", "0")
     return int(text[:9]) * 1_000_000 if text.isascii() and text.isdigit() else 0
 
 
-def _readable(objects: Objects, piece: bytes) -> Iterator[bytes]:
-    """What is whole with this piece; what stands before something that can't be read is handed out first."""
+def _feed_objects(objects: Objects, piece: bytes) -> Iterator[bytes]:
+    """Yields each object that the piece completes; raises InvalidUpdate at unreadable bytes behind them."""
     try:
         yield from objects.feed(piece)
     except ValueError as error:
@@ -50,162 +53,181 @@
 
 
 @asynccontextmanager
-async def _asked(url: URL) -> AsyncIterator[aiohttp.ClientResponse]:
+async def _open_response(url: URL) -> AsyncIterator[aiohttp.ClientResponse]:
     connector = aiohttp.TCPConnector(force_close=True, happy_eyeballs_delay=None)
-    timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_WAIT)
+    timeout = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
     async with (
         aiohttp.ClientSession(connector=connector, timeout=timeout) as session,
-        session.get(url, allow_redirects=False) as answer,
+        session.get(url, allow_redirects=False) as response,
     ):
-        answer.raise_for_status()
-        yield answer
+        response.raise_for_status()
+        yield response
 
 
 class Link:
-    """One watch at a time, for good."""
+    """Keeps one watch open at a source, and opens the next one whenever it ends."""
 
     def __init__(
         self,
         state: ListState,
         selector: SourceSelector,
         services: Sequence[str],
-        on_news: Callable[[], None],
-        on_life: Callable[[], None],
+        on_update: Callable[[], None],
+        on_alive: Callable[[], None],
     ) -> None:
         self.state = state
         self.selector = selector
         self.services = services
-        # Something was taken; the source has shown that it lives.
-        self.on_news = on_news
-        self.on_life = on_life
-        # Whether what changed before the first list is known as far as the source tells it.
-        self.backfilled = False
-        # The source has told older words on a fresh link: its whole list must say whether it stands by them.
-        self.asks_whole = False
-        # Why the last link ended, as told in the log; empty once something whole has come since.
-        self.told_why = ""
+        # Called after an update was applied, and after an update or heartbeat showed that the source is
+        # alive.
+        self.on_update = on_update
+        self.on_alive = on_alive
+        # Whether the source has sent what it knows of the changes before the first snapshot.
+        self.is_backfilled = False
+        # Set when a new watch began with an older or conflicting delta. The source's snapshot then shows
+        # whether the source was really reset to an earlier generation.
+        self.must_fetch_snapshot = False
+        # The last logged reason for the end of a watch; empty once something was received after it.
+        self.last_logged_reason = ""
         self.task: asyncio.Task[None] | None = None
-        self.watching: asyncio.Task[bool] | None = None
+        self.watch_task: asyncio.Task[bool] | None = None
 
     def start(self) -> None:
+        """Starts the task that watches the sources."""
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self) -> None:
+        """Ends the watch and the task, and waits for that."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
 
-    def renew(self) -> None:
-        """Set the link anew: the source has a history that goes less far than what is held."""
-        if self.watching is not None:
-            self.watching.cancel()
+    def reconnect(self) -> None:
+        """Opens a new watch at the same source, whose generation turned out to be below the one held."""
+        if self.watch_task is not None:
+            self.watch_task.cancel()
+
+    async def query_generation(self, after: int, services: Sequence[str]) -> int | None:
+        """Opens a watch after the given generation and returns the generation of the source's first object.
 
-    async def ask(self, after: int, services: Sequence[str]) -> int | None:
-        """The first generation that the source tells to who has heard up to `after`; None: none."""
+        None means that no readable object came within `GENERATION_QUERY_TIMEOUT_S`.
+        """
         objects = Objects()
         try:
             async with (
-                asyncio.timeout(ASK_WAIT),
-                _asked(list_url(self.selector.address, services, after)) as answer,
+                asyncio.timeout(GENERATION_QUERY_TIMEOUT_S),
+                _open_response(list_url(self.selector.address, services, after)) as response,
             ):
-                async for piece in answer.content.iter_any():
+                async for piece in response.content.iter_any():
                     for text in objects.feed(piece):
                         return parse_update(text).generation
         except (OSError, TimeoutError, aiohttp.ClientError, ValueError):
-            # It will be asked again.
+            # The relay repeats the query.
             pass
         return None
 
     async def _run(self) -> None:
         while True:
-            self.watching = asyncio.get_running_loop().create_task(self._one())
+            self.watch_task = asyncio.get_running_loop().create_task(self._follow_source())
             try:
-                silent = await self.watching
+                timed_out = await self.watch_task
             except asyncio.CancelledError:
                 task = asyncio.current_task()
                 if task is not None and task.cancelling():
                     raise
-                # Renewed, at the same source.
+                # `reconnect` cancelled the watch alone: the next one is opened at the same source.
                 continue
-            await asyncio.sleep(self.selector.record_end(silent, stay=self.asks_whole) / 1e6)
+            await asyncio.sleep(self.selector.record_end(timed_out, stay=self.must_fetch_snapshot) / 1e6)
 
-    async def _one(self) -> bool:
-        """One link, to its end; whether that was silence."""
+    async def _follow_source(self) -> bool:
+        """Follows the current source until the watch ends; true if it ended by the liveness timeout."""
         address = self.selector.address
-        silence = asyncio.timeout(None)
-        why = "it ended"
+        liveness_timeout = asyncio.timeout(None)
+        reason = "the source ended the watch"
         try:
             after = self.state.generation
             if after < 0:
-                # Here and now alone: another relay may be behind this one.
-                after = max(0, await self._whole(address) - BACKFILL_GENERATIONS)
-            elif self.asks_whole:
-                after = await self._whole(address)
-            await self._watch(address, silence, after)
+                # Backfill is requested only now, from the source that has just sent the snapshot: another
+                # source may be a relay that lags behind this one.
+                after = max(0, await self._fetch_snapshot(address) - BACKFILL_GENERATIONS)
+            elif self.must_fetch_snapshot:
+                after = await self._fetch_snapshot(address)
+            await self._watch(address, liveness_timeout, after)
         except InvalidUpdate as error:
-            why = str(error)
+            reason = str(error)
         except (OSError, TimeoutError, aiohttp.ClientError) as error:
-            why = "it fell silent" if silence.expired() else f"{type(error).__name__}: {error}"
+            reason = "it fell silent" if liveness_timeout.expired() else f"{type(error).__name__}: {error}"
         except Exception:
-            # A bug here must not end the relaying for good.
-            log.exception("link failed")
-            why = "a bug"
-        # The same end once more says nothing new, and a line for each would hide what does.
-        level = logging.DEBUG if why == self.told_why else logging.WARNING
-        self.told_why = why
-        pairs = {"source": address, "why": why, "version": self.state.generation}
+            # A bug in this code ends one watch and not the relay's service.
+            log.exception("watch failed")
+            reason = "unexpected exception"
+        # A repeated reason is logged at debug level, so that repetitions don't hide other warnings.
+        level = logging.DEBUG if reason == self.last_logged_reason else logging.WARNING
+        self.last_logged_reason = reason
+        pairs = {"source": address, "why": reason, "version": self.state.generation}
         log.log(level, "source lost", extra={"pairs": pairs})
-        return silence.expired()
-
-    async def _whole(self, address: str) -> int:
-        """The whole list, where nothing is held or the source must stand by an older word; its generation."""
-        self.asks_whole = False
-        async with asyncio.timeout(LIST_WAIT), _asked(list_url(address, self.services)) as answer:
+        return liveness_timeout.expired()
+
+    async def _fetch_snapshot(self, address: str) -> int:
+        """Fetches and applies the snapshot and returns its generation.
+
+        This is needed where no list is held, or where the source must confirm that it was reset.
+        """
+        self.must_fetch_snapshot = False
+        async with (
+            asyncio.timeout(SNAPSHOT_TIMEOUT_S),
+            _open_response(list_url(address, self.services)) as response,
+        ):
             text = bytearray()
-            async for piece in answer.content.iter_any():
+            async for piece in response.content.iter_any():
                 text += piece
                 if len(text) > OBJECT_MOST:
                     raise InvalidUpdate(f"an object of more than {OBJECT_MOST} bytes")
-            self._take(bytes(text), True, -1, _age_us(answer))
+            self._apply(bytes(text), True, -1, _parse_age_us(response))
         return self.state.generation
 
-    async def _watch(self, address: str, silence: asyncio.Timeout, after: int) -> None:
+    async def _watch(self, address: str, liveness_timeout: asyncio.Timeout, after: int) -> None:
         loop = asyncio.get_running_loop()
         objects = Objects()
-        fresh = True
-        async with silence:
-            silence.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
-            async with _asked(list_url(address, self.services, after)) as answer:
-                age_us = _age_us(answer)
-                async for piece in answer.content.iter_any():
-                    whole = 0
-                    for text in _readable(objects, piece):
-                        whole += 1
-                        self._take(text, fresh, after, age_us if fresh else 0)
-                        fresh = False
-                    if not whole and not objects.begun:
-                        # A blank line. It comes while nothing changes, so nothing was left to tell.
-                        fresh = False
-                        self._heard(0)
-                    if whole or not objects.begun:
-                        self.backfilled = True
-                        silence.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
-
-    def _take(self, text: bytes, fresh: bool, after: int, age_us: int) -> None:
-        told = parse_update(text)
+        is_first = True
+        async with liveness_timeout:
+            liveness_timeout.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
+            async with _open_response(list_url(address, self.services, after)) as response:
+                age_us = _parse_age_us(response)
+                async for piece in response.content.iter_any():
+                    completed = 0
+                    for text in _feed_objects(objects, piece):
+                        completed += 1
+                        self._apply(text, is_first, after, age_us if is_first else 0)
+                        is_first = False
+                    if not completed and not objects.begun:
+                        # The piece is a heartbeat, a blank line. The source sends one only when it has no
+                        # changes left to send.
+                        is_first = False
+                        self._record_contact(0)
+                    if completed or not objects.begun:
+                        self.is_backfilled = True
+                        liveness_timeout.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
+
+    def _apply(self, text: bytes, is_first: bool, after: int, age_us: int) -> None:
+        update = parse_update(text)
         try:
-            set_back = self.state.apply_update(told, fresh, after)
+            begins_epoch = self.state.apply_update(update, is_first, after)
         except OutOfOrderUpdate:
-            self.asks_whole = fresh and after >= self.state.generation
+            self.must_fetch_snapshot = is_first and after >= self.state.generation
             raise
-        if set_back:
-            pairs = {"source": self.selector.address, "version": told.generation, "epoch": self.state.epoch}
+        if begins_epoch:
+            pairs = {
+                "source": self.selector.address,
+                "version": update.generation,
+                "epoch": self.state.epoch,
+            }
             log.warning("source set back, another history", extra={"pairs": pairs})
-        self.told_why = ""
-        self.on_news()
-        self._heard(age_us)
-
-    def _heard(self, age_us: int) -> None:
-        self.told_why = ""
-        if self.selector.record_contact(clock(), age_us):
-            self.on_life()
+        self.last_logged_reason = ""
+        self.on_update()
+        self._record_contact(age_us)
+
+    def _record_contact(self, age_us: int) -> None:
+        self.last_logged_reason = ""
+        if self.selector.record_contact(monotonic_us(), age_us):
+            self.on_alive()
--- a/coraldeal/relay/server.py
+++ b/coraldeal/relay/server.py
@@ -19,7 +19,7 @@
 from coraldeal.net.listening import open_listening
 from coraldeal.net.wire import LIST_PATH, READY_PATH
 from coraldeal.operator import RelayTable
-from coraldeal.relay.link import Link, clock
+from coraldeal.relay.link import Link, monotonic_us
 from coraldeal.relay.route import MIN_HEARTBEAT_INTERVAL_US, SECOND_US, SourceSelector
 from coraldeal.relay.state import Cursor, ListState
 
@@ -91,14 +91,14 @@
         # Set when what it was told last should be looked at: it has taken it, or the watch is to end.
         self.wake = asyncio.Event()
         self.ended = False
-        self.told_us = clock()
+        self.told_us = monotonic_us()
 
     def is_free(self) -> bool:
         """Whether all that was written is with the system: only one write is ever out."""
         return not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
     def write(self, text: bytes) -> None:
-        self.told_us = clock()
+        self.told_us = monotonic_us()
         self.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
 
@@ -217,7 +217,7 @@
             "version": self.state.generation,
             "entries": len(self.state.entries),
             "tombstones": len(self.state.tombstones),
-            "age_ms": self.selector.age_us(clock()) // 1000
+            "age_ms": self.selector.age_us(monotonic_us()) // 1000
             if self.selector.last_contact_us >= 0
             else "never",
             "objects": self.objects_told,
@@ -240,7 +240,7 @@
     def _life(self) -> None:
         """The source lives, and who was not told so just now is."""
         self._look_ready()
-        now = clock()
+        now = monotonic_us()
         for follower in self.followers:
             if now - follower.told_us < MIN_HEARTBEAT_INTERVAL_US or not follower.is_free():
                 continue
@@ -263,7 +263,7 @@
         """Whether followers can be answered rightly: there is a list, and what changed before it is known."""
         if not self.listed_at:
             return False
-        return self.link.backfilled or asyncio.get_running_loop().time() >= self.listed_at
+        return self.link.is_backfilled or asyncio.get_running_loop().time() >= self.listed_at
 
     def _look_ready(self) -> None:
         if not self.is_told_ready and self._is_ready():
@@ -339,7 +339,10 @@
             self.state.remove_follower(cursor)
 
     def _head(self) -> dict[str, str]:
-        return {"Content-Type": "application/json", "Age": str(self.selector.age_us(clock()) // SECOND_US)}
+        return {
+            "Content-Type": "application/json",
+            "Age": str(self.selector.age_us(monotonic_us()) // SECOND_US),
+        }
 
     async def _watch(self, request: web.BaseRequest, cursor: Cursor) -> web.StreamResponse:
         """One watch, until it is left or the relay ends."""
@@ -385,10 +388,10 @@
         """
         while ahead := [each for each in self.followers if self.state.is_ahead(each.cursor)]:
             first = max(ahead, key=lambda each: each.cursor.generation)
-            version = await self.link.ask(first.cursor.generation, first.cursor.subscription.key)
+            version = await self.link.query_generation(first.cursor.generation, first.cursor.subscription.key)
             if version is not None and version < self.state.generation:
                 # What is held here is of another history itself: once that is clear all are told.
-                self.link.renew()
+                self.link.reconnect()
             elif version is not None:
                 for follower in ahead:
                     self.state.invalidate_if_ahead(follower.cursor, version)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -239,7 +239,7 @@
         old = first.selector.last_contact_us - 20_000_000
         first.selector.last_contact_us = second.selector.last_contact_us = old
         follower = await self.follower(second, "?watch=1&after=10&services=b")
-        second.link.renew()
+        second.link.reconnect()
         await until(lambda: len(first.followers) == 1)
         fresh = await self.follower(first, "?watch=1")
         await until(lambda: bool(fresh.told))
