--- a/coraldeal/relay/link.py
+++ b/coraldeal/relay/link.py
@@ -1,6 +1,6 @@
 """The relay's own watch at its source.
 
-The module does the I/O alone: `SourceSelector` selects the source and `ListState` applies what it sends.
+This module only does the I/O: `SourceSelector` selects the source, and `ListState` applies what it sends.
 """
 
 from __future__ import annotations
--- a/coraldeal/relay/server.py
+++ b/coraldeal/relay/server.py
@@ -1,4 +1,7 @@
-"""The relay on sockets: followers, who are told from `ListState`, and the phases from start to end."""
+"""The relay's server: answers followers from `ListState`, and runs from the start to SIGTERM.
+
+A follower is a client that watches the list: a node or another relay.
+"""
 
 from __future__ import annotations
 
@@ -25,49 +28,56 @@
 
 log = logging.getLogger(__name__)
 
-# Descriptors kept for the sources, for logs and for telling those beyond the limit so: so many, or a quarter
-# of a small limit.
-RESERVE = 64
-# For how many seconds a connection may bring no whole request.
-HEAD_WAIT = 3.0
-# After how many seconds who was turned away, for now, may ask again.
+# Descriptors that followers can't take: they are for the sources, for logs and for answering clients beyond
+# the limit. A quarter of the process's limit where that is less.
+RESERVED_DESCRIPTORS = 64
+# The seconds that a connection may stay open without a complete request.
+REQUEST_TIMEOUT_S = 3.0
+# The seconds in the Retry-After header of a 503, as text.
 RETRY_AFTER = "1"
-# What the system holds for one follower on its way, in bytes, and after how many milliseconds one that takes
-# none of it is given up.
-SEND_BUFFER = 256 * 1024
-TAKES_NOTHING = 10_000
-# How long a line of a request may be: a watch names its services there.
-LINE_MOST = 64 * 1024
-# How long changes from before the first list may take to come, in seconds; then followers are served anyway.
-BACKFILL_WAIT = 1.0
-# How often the source is asked about followers that are ahead.
-ASK_EVERY = 1.0
-# Over how many seconds the watches are ended at SIGTERM, so that not all followers turn elsewhere at once.
-END_SPREAD = 1.0
-END_STEPS = 20
-# How often a line tells how things stand, and refused followers are told of, in seconds.
-TELL_EVERY = 60.0
-REFUSED_EVERY = 10.0
-ACCEPT_AT_ONCE = 16
-BACKLOG = 1024
-# What `TCP_USER_TIMEOUT` is where Python does not know it by name.
-USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
+# The size of the kernel's send buffer for one follower in bytes, and the milliseconds after which the kernel
+# closes the connection of a follower that acknowledges none of it.
+SEND_BUFFER_BYTES = 256 * 1024
+USER_TIMEOUT_MS = 10_000
+# The limit of a request line in bytes. It is large since a watch names its services there.
+MAX_REQUEST_LINE_BYTES = 64 * 1024
+# The seconds that the changes before the first snapshot may take to arrive; after that followers are served
+# without them.
+BACKFILL_TIMEOUT_S = 1.0
+# The seconds between queries to the source about followers that are ahead of the relay.
+GENERATION_QUERY_INTERVAL_S = 1.0
+# The seconds and the number of steps over which the watches are ended at SIGTERM, so that not all followers
+# connect elsewhere at once.
+SHUTDOWN_SPREAD_S = 1.0
+SHUTDOWN_STEPS = 20
+# The seconds between two status lines of the log, and the least between two warnings of refused followers.
+STATUS_LOG_INTERVAL_S = 60.0
+REFUSAL_LOG_INTERVAL_S = 10.0
+# How many connections are accepted in one turn of the event loop.
+MAX_ACCEPTS_PER_TURN = 16
+LISTEN_BACKLOG = 1024
+# 18 is Linux's value, for a Python build whose `socket` module lacks the name.
+TCP_USER_TIMEOUT = getattr(socket, "TCP_USER_TIMEOUT", 18)
 
 
 class BadRequest(Exception):
-    """A request that can't be answered; its words go to who asked."""
+    """A request is answered with this status; the text is the body of the response."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
         self.status = status
 
 
-def read_query(path: str) -> tuple[bool, int, tuple[str, ...]]:
-    """Whether a watch is asked for, after which generation (-1: from nothing), and for which services."""
+def parse_query(path: str) -> tuple[bool, int, tuple[str, ...]]:
+    """Parses whether a watch is asked for, the generation it starts after (-1: none) and the services.
+
+    No services named means all services. Raises BadRequest if the generation is not a number of at most 18
+    digits.
+    """
     watch, after = False, -1
     services: tuple[str, ...] = ()
-    for part in path.partition("?")[2].split("&"):
-        key, _, value = part.partition("=")
+    for parameter in path.partition("?")[2].split("&"):
+        key, _, value = parameter.partition("=")
         if key == "watch":
             watch = value == "1"
         elif key == "after":
@@ -75,35 +85,36 @@
                 raise BadRequest(400, f"after is no generation: {value[:40]!r}")
             after = int(value)
         elif key == "services" and value:
-            # Names are encoded one by one, so the commas that stand here are those between them.
+            # Each name is percent-encoded by itself, so a literal comma always separates two names.
             services = tuple(unquote(name) for name in value.split(",") if name)
     return watch, after, services
 
 
 class Follower:
-    """One open watch."""
+    """One open watch of a client."""
 
-    __slots__ = ("cursor", "ended", "told_us", "transport", "wake")
+    __slots__ = ("cursor", "is_ending", "last_write_us", "transport", "wake")
 
     def __init__(self, cursor: Cursor, transport: asyncio.Transport) -> None:
         self.cursor = cursor
         self.transport = transport
-        # Set when what it was told last should be looked at: it has taken it, or the watch is to end.
+        # Wakes the task of the watch, which sends the next update once all was written, or ends the watch.
         self.wake = asyncio.Event()
-        self.ended = False
-        self.told_us = monotonic_us()
+        self.is_ending = False
+        self.last_write_us = monotonic_us()
 
-    def is_free(self) -> bool:
-        """Whether all that was written is with the system: only one write is ever out."""
+    def is_writable(self) -> bool:
+        """Whether the kernel has taken all that was written; at most one write waits in the process."""
         return not self.transport.is_closing() and not self.transport.get_write_buffer_size()
 
-    def write(self, text: bytes) -> None:
-        self.told_us = monotonic_us()
+    def write_chunk(self, text: bytes) -> None:
+        """Writes the text as one HTTP chunk."""
+        self.last_write_us = monotonic_us()
         self.transport.write(b"%x\r\n%b\r\n" % (len(text), text))
 
 
-class _Server(web.Server):
-    """aiohttp's low-level server, telling of each new connection."""
+class _HttpServer(web.Server):
+    """aiohttp's low-level server with a callback for each new connection."""
 
     def __init__(
         self,
@@ -114,9 +125,9 @@
             handler,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=HEAD_WAIT,
+            keepalive_timeout=REQUEST_TIMEOUT_S,
             lingering_time=0,
-            max_line_size=LINE_MOST,
+            max_line_size=MAX_REQUEST_LINE_BYTES,
         )
         self.on_connection = on_connection
 
@@ -126,54 +137,60 @@
 
 
 class Relay:
-    """One list, from its source to the followers."""
+    """Serves one list, received from its source, to the followers.
+
+    Raises SettingsError where the table names no address to listen at or no source. `max_descriptors` is the
+    process's limit of open files unless given.
+    """
 
-    def __init__(self, table: RelayTable, seed: str, sockets: int | None = None) -> None:
+    def __init__(self, table: RelayTable, seed: str, max_descriptors: int | None = None) -> None:
         if not table.listen or not table.sources:
             raise SettingsError("relay.listen and relay.sources: a relay needs both")
         self.table = table
         self.state = ListState()
         self.selector = SourceSelector(table.sources, seed)
-        self.link = Link(self.state, self.selector, table.services, self._news, self._life)
+        self.link = Link(self.state, self.selector, table.services, self._handle_update, self._handle_alive)
         self.followers: dict[Follower, None] = {}
-        if sockets is None:
-            sockets = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.reserve = min(RESERVE, sockets // 4)
-        self.limit = min(table.followers, sockets - self.reserve)
-        self.ending = asyncio.Event()
-        # When followers may be answered though what changed before the first list is not known; 0: no list.
-        self.listed_at = 0.0
-        self.is_told_ready = False
+        if max_descriptors is None:
+            max_descriptors = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        self.reserve = min(RESERVED_DESCRIPTORS, max_descriptors // 4)
+        self.limit = min(table.followers, max_descriptors - self.reserve)
+        self.stop_requested = asyncio.Event()
+        # The event loop's time from which followers are served without a backfill; 0: no list yet.
+        self.backfill_deadline = 0.0
+        self.is_ready_logged = False
+        # Refused followers since the start, and the event loop's time of the last warning about them.
         self.refused = 0
-        self.refused_at = -REFUSED_EVERY
-        self.asking: asyncio.Task[None] | None = None
-        # Bytes and objects told, for the line that tells how things stand.
-        self.bytes_told = self.objects_told = 0
-        self.server: _Server | None = None
+        self.refusal_logged_at = -REFUSAL_LOG_INTERVAL_S
+        self.query_task: asyncio.Task[None] | None = None
+        # Bytes and objects sent to followers since the start, for the status line of the log.
+        self.bytes_sent = self.objects_sent = 0
+        self.server: _HttpServer | None = None
         self.listener: Acceptor | None = None
 
-    # From start to end.
+    # Start and shutdown.
 
     async def run(self) -> None:
-        """The relay's whole life, to SIGTERM."""
+        """Serves from now until SIGTERM or SIGINT."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.ending.set)
+            loop.add_signal_handler(number, self.stop_requested.set)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGTERM,))
         await self.listen()
-        telling = loop.call_later(TELL_EVERY, self._tell)
+        status_timer = loop.call_later(STATUS_LOG_INTERVAL_S, self._log_status)
         try:
-            await self.ending.wait()
+            await self.stop_requested.wait()
         finally:
-            telling.cancel()
+            status_timer.cancel()
             await self.close()
 
     async def listen(self) -> None:
+        """Opens the listening socket and starts to follow the sources."""
         host, _, port = self.table.listen.rpartition(":")
-        near = await open_listening(host.strip("[]"), int(port))
-        self.server = _Server(self._handle, self._connected)
-        near.listen(BACKLOG)
-        self.listener = Acceptor(near, self.server, ACCEPT_AT_ONCE)
+        listening_socket = await open_listening(host.strip("[]"), int(port))
+        self.server = _HttpServer(self._handle_request, self._handle_connection)
+        listening_socket.listen(LISTEN_BACKLOG)
+        self.listener = Acceptor(listening_socket, self.server, MAX_ACCEPTS_PER_TURN)
         self.listener.start()
         pairs = {
             "listen": self.address,
@@ -185,33 +202,32 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, also where the system chose the port."""
+        """The address of the listening socket, with the kernel's choice where port 0 is configured."""
         assert self.listener is not None
         host, port = self.listener.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def close(self) -> None:
-        """End the watches in order, those who came first before the others, and leave."""
+        """Ends the watches over `SHUTDOWN_SPREAD_S`, the oldest first, and closes the relay."""
         assert self.listener is not None and self.server is not None
         log.info("relay ends", extra={"pairs": {"followers": len(self.followers)}})
         self.listener.close()
-        step = max(1, len(self.followers) // END_STEPS)
+        step = max(1, len(self.followers) // SHUTDOWN_STEPS)
         for count, follower in enumerate(list(self.followers), 1):
-            follower.ended = True
+            follower.is_ending = True
             follower.wake.set()
             if not count % step:
-                await asyncio.sleep(END_SPREAD / END_STEPS)
+                await asyncio.sleep(SHUTDOWN_SPREAD_S / SHUTDOWN_STEPS)
         await self.link.close()
-        if self.asking is not None:
-            self.asking.cancel()
-            await asyncio.gather(self.asking, return_exceptions=True)
-        # Who has not taken all by then is cut.
+        if self.query_task is not None:
+            self.query_task.cancel()
+            await asyncio.gather(self.query_task, return_exceptions=True)
+        # Closes the connections of followers that have not taken everything within 0.2 s.
         await self.server.shutdown(0.2)
         log.info("relay ended")
 
-    def _tell(self) -> None:
-        """How things stand, now and then."""
-        asyncio.get_running_loop().call_later(TELL_EVERY, self._tell)
+    def _log_status(self) -> None:
+        asyncio.get_running_loop().call_later(STATUS_LOG_INTERVAL_S, self._log_status)
         pairs = {
             "followers": len(self.followers),
             "version": self.state.generation,
@@ -220,97 +236,102 @@
             "age_ms": self.selector.age_us(monotonic_us()) // 1000
             if self.selector.last_contact_us >= 0
             else "never",
-            "objects": self.objects_told,
-            "bytes": self.bytes_told,
+            "objects": self.objects_sent,
+            "bytes": self.bytes_sent,
         }
         log.info("relay", extra={"pairs": pairs})
 
-    # What the source says goes on.
+    # Updates and heartbeats from the source.
 
-    def _news(self) -> None:
-        """The list has changed: who follows what changed is told, or will be once it is free."""
+    def _handle_update(self) -> None:
+        """Sends an applied update to the followers that it concerns, at once or when they are writable."""
         loop = asyncio.get_running_loop()
-        if not self.listed_at:
-            self.listed_at = loop.time() + BACKFILL_WAIT
-        self._look_ready()
+        if not self.backfill_deadline:
+            self.backfill_deadline = loop.time() + BACKFILL_TIMEOUT_S
+        self._log_if_ready()
         for follower in self.followers:
             if self.state.has_update(follower.cursor):
-                self._push(follower)
+                self._send_update(follower)
 
-    def _life(self) -> None:
-        """The source lives, and who was not told so just now is."""
-        self._look_ready()
-        now = monotonic_us()
+    def _handle_alive(self) -> None:
+        """Passes on that the source is alive, to followers that were sent nothing in the last 200 ms."""
+        self._log_if_ready()
+        now_us = monotonic_us()
         for follower in self.followers:
-            if now - follower.told_us < MIN_HEARTBEAT_INTERVAL_US or not follower.is_free():
+            if now_us - follower.last_write_us < MIN_HEARTBEAT_INTERVAL_US or not follower.is_writable():
                 continue
             if self.state.has_update(follower.cursor):
-                self._push(follower)
+                self._send_update(follower)
             elif text := self.state.encode_heartbeat(follower.cursor):
-                follower.write(text)
+                follower.write_chunk(text)
 
-    def _push(self, follower: Follower) -> None:
-        """What it has not been told, unless the last is still on its way: then this waits and is folded."""
-        if not follower.is_free():
+    def _send_update(self, follower: Follower) -> None:
+        """Sends a follower what it has not received.
+
+        While the last write is still buffered, nothing is sent: the changes are coalesced until the follower
+        is writable.
+        """
+        if not follower.is_writable():
             follower.wake.set()
             return
         text = self.state.encode_update(follower.cursor)
-        self.objects_told += 1
-        self.bytes_told += len(text)
-        follower.write(text)
+        self.objects_sent += 1
+        self.bytes_sent += len(text)
+        follower.write_chunk(text)
 
     def _is_ready(self) -> bool:
-        """Whether followers can be answered rightly: there is a list, and what changed before it is known."""
-        if not self.listed_at:
+        """Whether followers can be served: there is a list, backfilled as far as that came in time."""
+        if not self.backfill_deadline:
             return False
-        return self.link.is_backfilled or asyncio.get_running_loop().time() >= self.listed_at
+        return self.link.is_backfilled or asyncio.get_running_loop().time() >= self.backfill_deadline
 
-    def _look_ready(self) -> None:
-        if not self.is_told_ready and self._is_ready():
-            self.is_told_ready = True
+    def _log_if_ready(self) -> None:
+        if not self.is_ready_logged and self._is_ready():
+            self.is_ready_logged = True
             state = self.state
             pairs = {"version": state.generation, "entries": len(state.entries), "from": state.delta_floor}
             log.info("relay ready", extra={"pairs": pairs})
 
-    # Followers.
+    # Requests of followers.
 
-    def _connected(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
+    def _handle_connection(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
         assert self.server is not None
         if len(self.server._connections) > self.limit + self.reserve // 2:
-            # Beyond the words too: those who are served keep their descriptors.
-            self._refuse()
+            # Beyond half the reserve not even a 503 is sent, so that the followers served keep their
+            # descriptors.
+            self._record_refusal()
             transport.abort()
             return
-        near = transport.get_extra_info("socket")
-        near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER)
-        near.setsockopt(socket.IPPROTO_TCP, USER_TIMEOUT, TAKES_NOTHING)
-        asyncio.get_running_loop().call_later(HEAD_WAIT, self._close_silent, handler)
+        connection = transport.get_extra_info("socket")
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
+        connection.setsockopt(socket.IPPROTO_TCP, TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self._close_without_request, handler)
 
-    def _close_silent(self, handler: RequestHandler) -> None:
-        """Who has brought no request by now is let go."""
+    def _close_without_request(self, handler: RequestHandler) -> None:
+        """Closes a connection that has brought no request so far."""
         if not handler._request_count:
             handler.force_close()
 
-    def _refuse(self) -> None:
-        """One more than may be served; told now and then."""
+    def _record_refusal(self) -> None:
+        """Counts a follower beyond the limit, and logs a warning if the last one is long enough ago."""
         self.refused += 1
         now = asyncio.get_running_loop().time()
-        if now - self.refused_at >= REFUSED_EVERY:
-            self.refused_at = now
+        if now - self.refusal_logged_at >= REFUSAL_LOG_INTERVAL_S:
+            self.refusal_logged_at = now
             pairs = {"refused": self.refused, "followers": len(self.followers), "limit": self.limit}
             log.warning("followers at their limit", extra={"pairs": pairs})
 
-    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle_request(self, request: web.BaseRequest) -> web.StreamResponse:
         try:
-            return await self._answer(request)
-        except BadRequest as bad:
-            response = web.Response(status=bad.status, text=f"{bad}\n")
-            if bad.status == 503:
+            return await self._respond(request)
+        except BadRequest as error:
+            response = web.Response(status=error.status, text=f"{error}\n")
+            if error.status == 503:
                 response.headers["Retry-After"] = RETRY_AFTER
             response.force_close()
             return response
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _respond(self, request: web.BaseRequest) -> web.StreamResponse:
         path = request.raw_path.partition("?")[0]
         if request.version < HttpVersion11:
             raise BadRequest(505, "this is HTTP/1.1")
@@ -320,40 +341,40 @@
             return web.Response(status=200 if self._is_ready() else 503)
         if path != LIST_PATH:
             raise BadRequest(404, f"there is {LIST_PATH} and {READY_PATH}")
-        watch, after, services = read_query(request.raw_path)
+        watch, after, services = parse_query(request.raw_path)
         for name in services:
             if self.table.services and name not in self.table.services:
                 raise BadRequest(404, f"service {name} is not followed here")
         if not self._is_ready():
             raise BadRequest(503, "no list yet")
         if len(self.followers) >= self.limit:
-            self._refuse()
+            self._record_refusal()
             raise BadRequest(503, "followers at their limit")
         cursor = self.state.add_follower(services, after if watch else -1)
         try:
             if watch:
-                return await self._watch(request, cursor)
+                return await self._serve_watch(request, cursor)
             text = self.state.encode_update(cursor)
-            return web.Response(body=text, headers=self._head())
+            return web.Response(body=text, headers=self._response_headers())
         finally:
             self.state.remove_follower(cursor)
 
-    def _head(self) -> dict[str, str]:
+    def _response_headers(self) -> dict[str, str]:
         return {
             "Content-Type": "application/json",
             "Age": str(self.selector.age_us(monotonic_us()) // SECOND_US),
         }
 
-    async def _watch(self, request: web.BaseRequest, cursor: Cursor) -> web.StreamResponse:
-        """One watch, until it is left or the relay ends."""
-        response = web.StreamResponse(headers=self._head())
+    async def _serve_watch(self, request: web.BaseRequest, cursor: Cursor) -> web.StreamResponse:
+        """Serves one watch until the client closes it or the relay shuts down."""
+        response = web.StreamResponse(headers=self._response_headers())
         response.enable_chunked_encoding()
         response.force_close()
         await response.prepare(request)
         protocol, transport = request.protocol, request.transport
         if transport is None:
             return response
-        # Told to wait exactly while bytes are not yet the system's.
+        # With a high-water mark of 0, draining waits exactly while the kernel has not taken all bytes.
         transport.set_write_buffer_limits(high=0)
         follower = Follower(cursor, transport)
         self.followers[follower] = None
@@ -363,38 +384,41 @@
                 await follower.wake.wait()
                 follower.wake.clear()
                 await protocol._drain_helper()
-                if follower.ended:
+                if follower.is_ending:
                     return response
                 if self.state.has_update(cursor):
-                    self._push(follower)
+                    self._send_update(follower)
                 elif self.state.is_ahead(cursor):
-                    self._ask_ahead()
+                    self._start_generation_query()
         except ConnectionError:
             return response
         finally:
             self.followers.pop(follower, None)
 
-    # Followers that are ahead.
+    # Followers that have received a newer generation elsewhere.
 
-    def _ask_ahead(self) -> None:
-        if self.asking is None or self.asking.done():
-            self.asking = asyncio.get_running_loop().create_task(self._clear_up())
+    def _start_generation_query(self) -> None:
+        if self.query_task is None or self.query_task.done():
+            self.query_task = asyncio.get_running_loop().create_task(self._resolve_ahead_followers())
 
-    async def _clear_up(self) -> None:
-        """Ask the source whether what followers have heard elsewhere is of its history.
+    async def _resolve_ahead_followers(self) -> None:
+        """Queries the source until no follower is ahead, to find out whether their generations are its own.
 
-        It may only be that this relay is behind; but where the source itself, asked since they came, is at a
-        lower generation, it was set back.
+        Usually this relay only lags behind. But if the source itself, asked after the followers came, is at a
+        lower generation, it was reset, and the followers' generations are of an earlier epoch.
         """
         while ahead := [each for each in self.followers if self.state.is_ahead(each.cursor)]:
-            first = max(ahead, key=lambda each: each.cursor.generation)
-            version = await self.link.query_generation(first.cursor.generation, first.cursor.subscription.key)
-            if version is not None and version < self.state.generation:
-                # What is held here is of another history itself: once that is clear all are told.
+            farthest = max(ahead, key=lambda each: each.cursor.generation)
+            generation = await self.link.query_generation(
+                farthest.cursor.generation, farthest.cursor.subscription.key
+            )
+            if generation is not None and generation < self.state.generation:
+                # The list held here is of an earlier epoch too. The new watch shows that, and then all
+                # followers get a snapshot.
                 self.link.reconnect()
-            elif version is not None:
+            elif generation is not None:
                 for follower in ahead:
-                    self.state.invalidate_if_ahead(follower.cursor, version)
+                    self.state.invalidate_if_ahead(follower.cursor, generation)
                     if follower in self.followers and self.state.has_update(follower.cursor):
-                        self._push(follower)
-            await asyncio.sleep(ASK_EVERY)
+                        self._send_update(follower)
+            await asyncio.sleep(GENERATION_QUERY_INTERVAL_S)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,7 +19,7 @@
 from coraldeal.operator import ListsTable, OperatorFile, RelayTable, read_operator
 from coraldeal.relay import link as link_module
 from coraldeal.relay import server as server_module
-from coraldeal.relay.server import Relay, read_query
+from coraldeal.relay.server import Relay, parse_query
 from tests.standins import (
     CHUNKED_HEAD,
     NodeCase,
@@ -137,7 +137,7 @@
         return relay
 
     async def end(self, relay: Relay) -> None:
-        with mock.patch.object(server_module, "END_SPREAD", 0):
+        with mock.patch.object(server_module, "SHUTDOWN_SPREAD_S", 0):
             await relay.close()
 
     async def ready(self, *sources: str, **told: Any) -> Relay:
@@ -167,7 +167,7 @@
         self.assertIn(b"Age: 0\r\n", of_a.head)
         whole = await self.follower(relay, "?services=b")
         self.assertIn(b"Age: 0\r\n", whole.head)
-        self.assertEqual(read_query("/x?watch=1&services=b,no%2Cne"), (True, -1, ("b", "no,ne")))
+        self.assertEqual(parse_query("/x?watch=1&services=b,no%2Cne"), (True, -1, ("b", "no,ne")))
 
     async def test_a_node_cannot_tell_a_relay_from_its_source(self) -> None:
         source = await self.source()
@@ -187,7 +187,7 @@
 
     async def test_a_slow_follower_is_owed_one_write_and_gets_the_rest_folded(self) -> None:
         source = await self.source()
-        with mock.patch.object(server_module, "SEND_BUFFER", 4096):
+        with mock.patch.object(server_module, "SEND_BUFFER_BYTES", 4096):
             relay = await self.ready(source.stand_in.address)
             near = await asyncio.open_connection(*relay.address.split(":"), limit=1024)
             reader, writer = near
@@ -200,13 +200,13 @@
                 source.change(of("a", "a1", note=big, cell=count))
                 await until(lambda: relay.state.generation == source.version)
                 self.assertLess(slow.transport.get_write_buffer_size(), 700_000)
-            self.assertLess(relay.objects_told, 30)
-            told = relay.objects_told
+            self.assertLess(relay.objects_sent, 30)
+            told = relay.objects_sent
             source.change(of("a", "a2", "Gone"))
             text = b""
             while b'"Gone"' not in text[-400_000:]:
                 text += await asyncio.wait_for(reader.read(1 << 20), 5)
-            self.assertLessEqual(relay.objects_told, told + 2)
+            self.assertLessEqual(relay.objects_sent, told + 2)
             self.assertNotIn(b'"reset":true', text)
             self.assertIn(b'"cell":39', text)
 
@@ -311,7 +311,7 @@
 
     async def test_a_source_set_back_is_another_history_at_every_hop(self) -> None:
         source = await self.source()
-        with mock.patch.object(server_module, "ASK_EVERY", 0.05):
+        with mock.patch.object(server_module, "GENERATION_QUERY_INTERVAL_S", 0.05):
             first = await self.ready(source.stand_in.address)
             second = await self.ready(first.address)
             follower = await self.follower(second, "?watch=1&after=10")
@@ -324,7 +324,7 @@
 
     async def test_a_follower_ahead_waits_unless_the_source_itself_is_behind_it(self) -> None:
         source = await self.source()
-        with mock.patch.object(server_module, "ASK_EVERY", 0.05):
+        with mock.patch.object(server_module, "GENERATION_QUERY_INTERVAL_S", 0.05):
             relay = await self.ready(source.stand_in.address)
             # The source has gone on, but what it says has not come here.
             source.version = 12
@@ -375,7 +375,7 @@
         relay = await self.ready(source.stand_in.address)
         followers = [await self.follower(relay, "?watch=1&after=10") for _ in range(5)]
         await until(lambda: len(relay.followers) == 5)
-        with mock.patch.object(server_module, "END_SPREAD", 0.2):
+        with mock.patch.object(server_module, "SHUTDOWN_SPREAD_S", 0.2):
             await relay.close()
         await until(lambda: all(follower.ended for follower in followers))
         self.assertTrue(all(follower.last_chunk for follower in followers))
@@ -396,7 +396,7 @@
                 writer.close()
         held[0].leave()
         await until(lambda: len(relay.followers) == 11)
-        with mock.patch.object(server_module, "HEAD_WAIT", 0.1):
+        with mock.patch.object(server_module, "REQUEST_TIMEOUT_S", 0.1):
             again = await self.follower(relay, "?watch=1&after=11")
         self.assertEqual(again.status, 200)
 
