--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,8 @@
-"""The relay on loopback: one test for each hard case, between a stand-in of the source and followers."""
+"""Tests the relay on loopback sockets, between a simulated source and its followers.
+
+Each test is about one failure: of a source (silent, reset, sending invalid objects), of a follower (slow,
+ahead of the relay, beyond the limit) or around the relay's start and shutdown.
+"""
 
 from __future__ import annotations
 
@@ -36,72 +40,82 @@
 )
 
 
-def of(service: str, name: str, lifecycle: str = "Ready", **more: Any) -> dict[str, Any]:
+def service_entry(service: str, name: str, lifecycle: str = "Ready", **more: Any) -> dict[str, Any]:
+    """A list entry of a service, with further fields."""
     return {**entry(name, "127.0.0.1:1", lifecycle), "service": service, **more}
 
 
-def line(*told: Any) -> bytes:
-    return json.dumps(server_list(*told)).encode() + b"\n"
+def encode_line(*update: Any) -> bytes:
+    """An object of a source, given as the arguments of `server_list`, as a line of the stream."""
+    return json.dumps(server_list(*update)).encode() + b"\n"
 
 
 class Source:
-    """A source that holds watches and says what a test wants."""
+    """A simulated source: it keeps watches open and sends what a test asks for."""
 
     def __init__(self) -> None:
-        self.version = 10
-        self.entries = [of("a", "a1"), of("a", "a2"), of("b", "b1")]
+        self.generation = 10
+        self.entries = [service_entry("a", "a1"), service_entry("a", "a2"), service_entry("b", "b1")]
         self.writers: list[asyncio.StreamWriter] = []
-        # What a watch is told first, by what it asked `after`; None: nothing.
-        self.first: dict[int, bytes] = {}
-        self.stand_in = StandIn(self.play)
-
-    async def play(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        # The first object of a watch, by the generation that the watch asks from; others begin with a
+        # heartbeat.
+        self.first_objects: dict[int, bytes] = {}
+        self.stand_in = StandIn(self.handle_connection)
+
+    async def handle_connection(
+        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Answers with the snapshot, or with a watch that lasts until the client closes it."""
         path = seen.line.split()[1]
         if "watch" not in path:
-            writer.write(answer(200, line(self.version, True, *self.entries)))
+            writer.write(answer(200, encode_line(self.generation, True, *self.entries)))
             return
         after = int(path.partition("after=")[2].partition("&")[0] or -1)
         writer.write(CHUNKED_HEAD)
-        if after > self.version:
-            writer.write(chunked(line(self.version, True, *self.entries)))
-        elif after in self.first:
-            writer.write(chunked(self.first[after]))
+        if after > self.generation:
+            writer.write(chunked(encode_line(self.generation, True, *self.entries)))
+        elif after in self.first_objects:
+            writer.write(chunked(self.first_objects[after]))
         else:
             writer.write(chunked(b"\n"))
         self.writers.append(writer)
         await reader.read()
         self.writers.remove(writer)
 
-    def say(self, text: bytes) -> None:
+    def broadcast(self, text: bytes) -> None:
+        """Sends the text as one HTTP chunk to every watch."""
         for writer in self.writers:
             writer.write(chunked(text))
 
     def change(self, *entries: dict[str, Any]) -> None:
-        self.version += 1
-        self.say(line(self.version, False, *entries))
+        """Sends the entries as the delta of a new generation."""
+        self.generation += 1
+        self.broadcast(encode_line(self.generation, False, *entries))
 
 
 class Follower:
-    """A follower's connection, read as it comes."""
+    """A follower: it reads the objects and heartbeats of one watch, or one snapshot's head."""
 
     def __init__(self, address: str, query: str) -> None:
         self.address, self.query = address, query
-        self.told: list[dict[str, Any]] = []
-        self.beats = 0
+        self.objects: list[dict[str, Any]] = []
+        self.heartbeats = 0
         self.head = b""
-        self.ended = False
-        self.last_chunk = False
+        self.has_ended = False
+        self.has_last_chunk = False
 
     async def open(self) -> Follower:
+        """Sends the request, waits for the head of the response and starts to read the body."""
         host, _, port = self.address.rpartition(":")
         self.reader, self.writer = await asyncio.open_connection(host, int(port), limit=1 << 26)
         self.writer.write(f"GET /v1/endpoints{self.query} HTTP/1.1\r\nHost: r\r\n\r\n".encode())
         self.head = await asyncio.wait_for(self.reader.readuntil(b"\r\n\r\n"), 5)
-        self.task = asyncio.get_running_loop().create_task(self._read())
+        self.read_task = asyncio.get_running_loop().create_task(self._read())
         return self
 
     @property
     def status(self) -> int:
+        """The status of the response."""
         return int(self.head.split()[1])
 
     async def _read(self) -> None:
@@ -109,353 +123,383 @@
             while size := int(await self.reader.readuntil(b"\r\n"), 16):
                 text = (await self.reader.readexactly(size + 2))[:-2]
                 if text == b"\n":
-                    self.beats += 1
+                    self.heartbeats += 1
                 else:
-                    self.told.append(json.loads(text))
-            self.last_chunk = True
-        self.ended = True
+                    self.objects.append(json.loads(text))
+            self.has_last_chunk = True
+        self.has_ended = True
 
-    def names(self, at: int = -1) -> list[str]:
-        return [item["instanceId"] for item in self.told[at]["instances"]]
+    def names(self, index: int = -1) -> list[str]:
+        """The names in one of the objects received."""
+        return [item["instanceId"] for item in self.objects[index]["instances"]]
 
-    def leave(self) -> None:
+    def close(self) -> None:
+        """Closes the connection."""
         self.writer.close()
-        self.task.cancel()
+        self.read_task.cancel()
 
 
 class RelayCase(NodeCase):
-    async def source(self) -> Source:
+    """Starts sources, relays and followers, and closes them after the test."""
+
+    async def start_source(self) -> Source:
         source = Source()
         await source.stand_in.start()
         self.addCleanup(source.stand_in.stop)
         return source
 
-    async def relay(self, *sources: str, sockets: int | None = None, **table: Any) -> Relay:
-        relay = Relay(RelayTable("127.0.0.1:0", sources, **table), "7", sockets)
+    async def start_relay(self, *sources: str, max_descriptors: int | None = None, **table: Any) -> Relay:
+        relay = Relay(RelayTable("127.0.0.1:0", sources, **table), "7", max_descriptors)
         await relay.listen()
-        self.addAsyncCleanup(self.end, relay)
+        self.addAsyncCleanup(self.close_relay, relay)
         return relay
 
-    async def end(self, relay: Relay) -> None:
+    async def close_relay(self, relay: Relay) -> None:
         with mock.patch.object(server_module, "SHUTDOWN_SPREAD_S", 0):
             await relay.close()
 
-    async def ready(self, *sources: str, **told: Any) -> Relay:
-        relay = await self.relay(*sources, **told)
+    async def start_ready_relay(self, *sources: str, **options: Any) -> Relay:
+        """A relay that serves followers already."""
+        relay = await self.start_relay(*sources, **options)
         await until(relay._is_ready)
         return relay
 
-    async def follower(self, relay: Relay | str, query: str = "?watch=1") -> Follower:
+    async def open_follower(self, relay: Relay | str, query: str = "?watch=1") -> Follower:
         address = relay if isinstance(relay, str) else relay.address
         follower = await Follower(address, query).open()
-        self.addCleanup(follower.leave)
+        self.addCleanup(follower.close)
         return follower
 
 
-class Passing(RelayCase):
-    async def test_only_what_was_asked_for_with_the_sources_generations(self) -> None:
-        source = await self.source()
-        relay = await self.ready(source.stand_in.address)
-        of_a = await self.follower(relay, "?watch=1&services=a")
-        of_b = await self.follower(relay, "?watch=1&after=10&services=b,no%2Cne")
-        await until(lambda: bool(of_a.told))
-        self.assertEqual(of_a.told[0], server_list(10, True, *source.entries[:2]))
-        source.change(of("a", "a1", "Terminating", odd=[1]))
-        await until(lambda: len(of_a.told) == 2)
-        self.assertEqual(of_a.told[1], server_list(11, False, of("a", "a1", "Terminating", odd=[1])))
-        self.assertEqual(of_b.told, [])
+class Forwarding(RelayCase):
+    """What followers receive of the snapshots and deltas of a source."""
+
+    async def test_a_follower_of_some_services_gets_only_their_entries_with_the_sources_generations(
+        self,
+    ) -> None:
+        source = await self.start_source()
+        relay = await self.start_ready_relay(source.stand_in.address)
+        of_a = await self.open_follower(relay, "?watch=1&services=a")
+        of_b = await self.open_follower(relay, "?watch=1&after=10&services=b,no%2Cne")
+        await until(lambda: bool(of_a.objects))
+        self.assertEqual(of_a.objects[0], server_list(10, True, *source.entries[:2]))
+        source.change(service_entry("a", "a1", "Terminating", odd=[1]))
+        await until(lambda: len(of_a.objects) == 2)
+        self.assertEqual(
+            of_a.objects[1], server_list(11, False, service_entry("a", "a1", "Terminating", odd=[1]))
+        )
+        self.assertEqual(of_b.objects, [])
         self.assertIn(b"Age: 0\r\n", of_a.head)
-        whole = await self.follower(relay, "?services=b")
-        self.assertIn(b"Age: 0\r\n", whole.head)
+        snapshot = await self.open_follower(relay, "?services=b")
+        self.assertIn(b"Age: 0\r\n", snapshot.head)
         self.assertEqual(parse_query("/x?watch=1&services=b,no%2Cne"), (True, -1, ("b", "no,ne")))
 
-    async def test_a_node_cannot_tell_a_relay_from_its_source(self) -> None:
-        source = await self.source()
+    async def test_a_node_behind_two_relays_follows_the_source(self) -> None:
+        source = await self.start_source()
         server = await self.stand_in()
-        source.entries = [{**of("a", "s0"), "hostPort": server.address}, of("b", "b1")]
-        first = await self.ready(source.stand_in.address)
-        second = await self.ready(first.address)
-        own = OperatorFile(lists=ListsTable((second.address,), ("a",)))
+        source.entries = [{**service_entry("a", "s0"), "hostPort": server.address}, service_entry("b", "b1")]
+        first = await self.start_ready_relay(source.stand_in.address)
+        second = await self.start_ready_relay(first.address)
+        operator_file = OperatorFile(lists=ListsTable((second.address,), ("a",)))
         running = RunningNode(config(server_list(1, True), pushed=True))
-        with mock.patch("tests.standins.Node", lambda told: Node(told, None, own)):
+        with mock.patch("tests.standins.Node", lambda settings: Node(settings, None, operator_file)):
             node = await self.enterAsyncContext(running)
         await until(lambda: list(node.node.balancer.servers) == ["s0"])
         self.assertEqual((await (await node.caller()).ask())[0], 200)
-        source.change(of("a", "s0", "Gone"))
+        source.change(service_entry("a", "s0", "Gone"))
         await until(lambda: not node.node.balancer.servers)
         self.assertEqual(node.node.discovery.version, 11)
 
-    async def test_a_slow_follower_is_owed_one_write_and_gets_the_rest_folded(self) -> None:
-        source = await self.source()
+    async def test_a_slow_follower_has_one_write_buffered_and_gets_later_changes_coalesced(self) -> None:
+        source = await self.start_source()
         with mock.patch.object(server_module, "SEND_BUFFER_BYTES", 4096):
-            relay = await self.ready(source.stand_in.address)
-            near = await asyncio.open_connection(*relay.address.split(":"), limit=1024)
-            reader, writer = near
+            relay = await self.start_ready_relay(source.stand_in.address)
+            connection = await asyncio.open_connection(*relay.address.split(":"), limit=1024)
+            reader, writer = connection
             self.addCleanup(writer.close)
             writer.write(b"GET /v1/endpoints?watch=1&after=10&services=a HTTP/1.1\r\nHost: r\r\n\r\n")
             await until(lambda: len(relay.followers) == 1)
             slow = next(iter(relay.followers))
-            big = "x" * 300_000
+            padding = "x" * 300_000
             for count in range(40):
-                source.change(of("a", "a1", note=big, cell=count))
-                await until(lambda: relay.state.generation == source.version)
+                source.change(service_entry("a", "a1", padding=padding, cell=count))
+                await until(lambda: relay.state.generation == source.generation)
                 self.assertLess(slow.transport.get_write_buffer_size(), 700_000)
             self.assertLess(relay.objects_sent, 30)
-            told = relay.objects_sent
-            source.change(of("a", "a2", "Gone"))
+            sent_before = relay.objects_sent
+            source.change(service_entry("a", "a2", "Gone"))
             text = b""
             while b'"Gone"' not in text[-400_000:]:
                 text += await asyncio.wait_for(reader.read(1 << 20), 5)
-            self.assertLessEqual(relay.objects_sent, told + 2)
+            self.assertLessEqual(relay.objects_sent, sent_before + 2)
             self.assertNotIn(b'"reset":true', text)
             self.assertIn(b'"cell":39', text)
 
 
-class Life(RelayCase):
-    async def test_a_silent_source_makes_silence_at_every_hop(self) -> None:
-        source = await self.source()
+class Liveness(RelayCase):
+    """What a relay takes for a sign that its source is alive, and what it passes on of that."""
+
+    async def test_a_silent_source_stops_the_heartbeats_at_every_relay(self) -> None:
+        source = await self.start_source()
         with mock.patch.object(server_module, "MIN_HEARTBEAT_INTERVAL_US", 0):
-            first = await self.ready(source.stand_in.address)
-            second = await self.ready(first.address)
-            follower = await self.follower(second, "?watch=1&after=10&services=b")
+            first = await self.start_ready_relay(source.stand_in.address)
+            second = await self.start_ready_relay(first.address)
+            follower = await self.open_follower(second, "?watch=1&after=10&services=b")
             for count in range(1, 4):
-                source.say(b"\n")
-                await until(lambda count=count: follower.beats >= count)  # type: ignore[misc]
-            beats = follower.beats
+                source.broadcast(b"\n")
+                await until(lambda count=count: follower.heartbeats >= count)  # type: ignore[misc]
+            heartbeats = follower.heartbeats
             await asyncio.sleep(0.2)
-            self.assertEqual((follower.beats, follower.told), (beats, []))
-            # A change of what it does not follow is life too, and tells the generation.
-            source.change(of("a", "a1"))
-            await until(lambda: len(follower.told) == 1)
-            self.assertEqual(follower.told[0], server_list(11, False))
-
-    async def test_who_connects_anew_to_a_stale_relay_takes_it_for_no_life(self) -> None:
-        source = await self.source()
-        first = await self.ready(source.stand_in.address)
-        second = await self.ready(first.address)
+            self.assertEqual((follower.heartbeats, follower.objects), (heartbeats, []))
+            # A change of another service is a heartbeat too: an empty delta with the new generation.
+            source.change(service_entry("a", "a1"))
+            await until(lambda: len(follower.objects) == 1)
+            self.assertEqual(follower.objects[0], server_list(11, False))
+
+    async def test_a_reconnect_to_a_stale_relay_does_not_count_as_liveness(self) -> None:
+        source = await self.start_source()
+        first = await self.start_ready_relay(source.stand_in.address)
+        second = await self.start_ready_relay(first.address)
         source.stand_in.stop()
         for writer in list(source.writers):
             writer.transport.abort()
-        old = first.selector.last_contact_us - 20_000_000
-        first.selector.last_contact_us = second.selector.last_contact_us = old
-        follower = await self.follower(second, "?watch=1&after=10&services=b")
+        stale_us = first.selector.last_contact_us - 20_000_000
+        first.selector.last_contact_us = second.selector.last_contact_us = stale_us
+        follower = await self.open_follower(second, "?watch=1&after=10&services=b")
         second.link.reconnect()
         await until(lambda: len(first.followers) == 1)
-        fresh = await self.follower(first, "?watch=1")
-        await until(lambda: bool(fresh.told))
+        fresh = await self.open_follower(first, "?watch=1")
+        await until(lambda: bool(fresh.objects))
         await asyncio.sleep(0.1)
-        self.assertEqual((follower.beats, follower.told, fresh.names()), (0, [], ["a1", "a2", "b1"]))
+        self.assertEqual((follower.heartbeats, follower.objects, fresh.names()), (0, [], ["a1", "a2", "b1"]))
         self.assertRegex(fresh.head, rb"Age: 2\d\r\n")
-        self.assertLess(second.selector.last_contact_us, old + 2_000_000)
+        self.assertLess(second.selector.last_contact_us, stale_us + 2_000_000)
 
-    async def test_a_silent_a_hanging_and_a_dead_source_are_left_with_after(self) -> None:
-        good = await self.source()
-        for bad in ("silent", "dead", "hang up"):
+    async def test_a_silent_or_closed_source_is_replaced_from_the_generation_held(self) -> None:
+        good = await self.start_source()
+        for fault in ("silent", "aborted", "closed"):
 
-            async def play(seen: Seen, reader: Any, writer: Any, bad: str = bad) -> None:
+            async def respond(seen: Seen, reader: Any, writer: Any, fault: str = fault) -> None:
                 if "watch" not in seen.line:
-                    writer.write(answer(200, line(10, True, of("a", "a1"))))
+                    writer.write(answer(200, encode_line(10, True, service_entry("a", "a1"))))
                     return
                 writer.write(CHUNKED_HEAD + chunked(b"\n"))
-                await (asyncio.sleep(0.05) if bad != "silent" else reader.read())
-                (writer.transport.abort if bad == "dead" else writer.close)()
-
-            with self.subTest(bad), mock.patch.object(link_module, "LIVENESS_TIMEOUT_US", 300_000):
-                other = await self.stand_in(play)
-                good.first = {10: line(11, False, of("a", "a9"))}
-                relay = await self.relay(other.address, good.stand_in.address)
-                relay.selector.addresses, relay.selector.index = [other.address, good.stand_in.address], 0
+                await (asyncio.sleep(0.05) if fault != "silent" else reader.read())
+                (writer.transport.abort if fault == "aborted" else writer.close)()
+
+            with self.subTest(fault), mock.patch.object(link_module, "LIVENESS_TIMEOUT_US", 300_000):
+                faulty = await self.stand_in(respond)
+                good.first_objects = {10: encode_line(11, False, service_entry("a", "a9"))}
+                relay = await self.start_relay(faulty.address, good.stand_in.address)
+                relay.selector.addresses, relay.selector.index = [faulty.address, good.stand_in.address], 0
                 await until(relay._is_ready)
-                follower = await self.follower(relay, "?watch=1&after=10")
-                await until(lambda f=follower: bool(f.told), 3.0)  # type: ignore[misc]
-                self.assertEqual((follower.told[0]["reset"], follower.names()), (False, ["a9"]))
+                follower = await self.open_follower(relay, "?watch=1&after=10")
+                await until(lambda f=follower: bool(f.objects), 3.0)  # type: ignore[misc]
+                self.assertEqual((follower.objects[0]["reset"], follower.names()), (False, ["a9"]))
                 self.assertIn("after=10", good.stand_in.seen[-1].line)
 
 
-class Refusals(RelayCase):
-    async def test_what_cannot_be_taken_is_told_once_and_passed_to_nobody(self) -> None:
-        cut = line(11, False, of("a", "bad"))
-        for name, text, word in (
-            ("unreadable", cut.replace(b"instanceId", b"id"), "unreadable, KeyError"),
+class InvalidSources(RelayCase):
+    """Sources that send invalid or older objects, or were reset to an earlier generation."""
+
+    async def test_an_invalid_object_is_logged_once_and_not_forwarded(self) -> None:
+        valid = encode_line(11, False, service_entry("a", "bad"))
+        for name, text, reason in (
+            ("unreadable", valid.replace(b"instanceId", b"id"), "unreadable, KeyError"),
             ("no object", b"[1]\n", "no object begins"),
             ("oversized", b"{" + b" " * 3000, "more than 2000 bytes"),
             (
                 "out of order",
-                line(9, False, of("a", "bad")),
+                encode_line(9, False, service_entry("a", "bad")),
                 "older data of generation 9, held is generation 10",
             ),
-            ("out of order, whole", line(9, True, of("a", "bad")), "older data of generation 9"),
+            (
+                "out of order, snapshot",
+                encode_line(9, True, service_entry("a", "bad")),
+                "older data of generation 9",
+            ),
         ):
-            source = await self.source()
+            source = await self.start_source()
             with (
                 self.subTest(name),
                 mock.patch("coraldeal.net.wire.OBJECT_MOST", 2000),
                 self.assertLogs("coraldeal.relay.link", "WARNING") as logs,
             ):
-                relay = await self.ready(source.stand_in.address)
-                follower = await self.follower(relay, "?watch=1&after=10")
+                relay = await self.start_ready_relay(source.stand_in.address)
+                follower = await self.open_follower(relay, "?watch=1&after=10")
                 await until(lambda s=source: len(s.writers) == 1)  # type: ignore[misc]
-                source.say(text)
+                source.broadcast(text)
                 await until(lambda s=source: len(s.stand_in.seen) >= 3)  # type: ignore[misc]
                 await until(lambda s=source: bool(s.writers))  # type: ignore[misc]
-                # The next link asks from what is held, and goes on.
+                # The relay opens the next watch from the generation held, and goes on.
                 self.assertIn("after=10", source.stand_in.seen[-1].line)
-                source.version = 10
-                source.change(of("a", "good"))
-                await until(lambda f=follower: bool(f.told))  # type: ignore[misc]
-                self.assertEqual((len(follower.told), follower.names()), (1, ["good"]))
+                source.generation = 10
+                source.change(service_entry("a", "good"))
+                await until(lambda f=follower: bool(f.objects))  # type: ignore[misc]
+                self.assertEqual((len(follower.objects), follower.names()), (1, ["good"]))
                 pairs = [record.__dict__["pairs"] for record in logs.records]
                 self.assertEqual(len(pairs), 1)
-                self.assertIn(word, pairs[0]["why"])
+                self.assertIn(reason, pairs[0]["why"])
                 self.assertEqual(pairs[0]["source"], source.stand_in.address)
 
-    async def test_a_source_set_back_is_another_history_at_every_hop(self) -> None:
-        source = await self.source()
+    async def test_a_reset_source_begins_a_new_epoch_at_every_relay(self) -> None:
+        source = await self.start_source()
         with mock.patch.object(server_module, "GENERATION_QUERY_INTERVAL_S", 0.05):
-            first = await self.ready(source.stand_in.address)
-            second = await self.ready(first.address)
-            follower = await self.follower(second, "?watch=1&after=10")
-            source.version, source.entries = 4, [of("a", "old")]
+            first = await self.start_ready_relay(source.stand_in.address)
+            second = await self.start_ready_relay(first.address)
+            follower = await self.open_follower(second, "?watch=1&after=10")
+            source.generation, source.entries = 4, [service_entry("a", "old")]
             for writer in list(source.writers):
                 writer.transport.abort()
-            await until(lambda: bool(follower.told))
-            self.assertEqual(follower.told[-1], server_list(4, True, of("a", "old")))
+            await until(lambda: bool(follower.objects))
+            self.assertEqual(follower.objects[-1], server_list(4, True, service_entry("a", "old")))
             self.assertEqual((first.state.epoch, second.state.epoch), (1, 1))
 
-    async def test_a_follower_ahead_waits_unless_the_source_itself_is_behind_it(self) -> None:
-        source = await self.source()
+    async def test_a_follower_ahead_gets_a_snapshot_only_if_the_source_is_behind_it_too(self) -> None:
+        source = await self.start_source()
         with mock.patch.object(server_module, "GENERATION_QUERY_INTERVAL_S", 0.05):
-            relay = await self.ready(source.stand_in.address)
-            # The source has gone on, but what it says has not come here.
-            source.version = 12
-            ahead = await self.follower(relay, "?watch=1&after=12")
-            wrong = await self.follower(relay, "?watch=1&after=90")
-            await until(lambda: bool(wrong.told))
-            self.assertEqual((wrong.told[0]["generation"], wrong.told[0]["reset"]), (10, True))
-            source.say(b"\n")
-            await until(lambda: wrong.beats > 0)
-            self.assertEqual((ahead.told, ahead.beats), ([], 0))
-            source.say(line(12, False, of("a", "a1")) + line(13, False, of("a", "a2", "Terminating")))
-            await until(lambda: bool(ahead.told))
-            self.assertEqual((ahead.told[0]["reset"], ahead.names(0)), (False, ["a2"]))
-
-
-class Phases(RelayCase):
-    async def test_nobody_is_answered_before_there_is_a_list(self) -> None:
+            relay = await self.start_ready_relay(source.stand_in.address)
+            # The source is at a newer generation, but the relay has not received its delta.
+            source.generation = 12
+            ahead = await self.open_follower(relay, "?watch=1&after=12")
+            other_epoch = await self.open_follower(relay, "?watch=1&after=90")
+            await until(lambda: bool(other_epoch.objects))
+            self.assertEqual(
+                (other_epoch.objects[0]["generation"], other_epoch.objects[0]["reset"]), (10, True)
+            )
+            source.broadcast(b"\n")
+            await until(lambda: other_epoch.heartbeats > 0)
+            self.assertEqual((ahead.objects, ahead.heartbeats), ([], 0))
+            source.broadcast(
+                encode_line(12, False, service_entry("a", "a1"))
+                + encode_line(13, False, service_entry("a", "a2", "Terminating"))
+            )
+            await until(lambda: bool(ahead.objects))
+            self.assertEqual((ahead.objects[0]["reset"], ahead.names(0)), (False, ["a2"]))
+
+
+class StartAndShutdown(RelayCase):
+    """The answers before the first snapshot, at shutdown and at the limit of followers."""
+
+    async def test_before_the_first_snapshot_a_follower_gets_503(self) -> None:
         with self.assertLogs("coraldeal.relay", "INFO") as logs:
-            relay = await self.relay("127.0.0.1:1")
-            follower = await self.follower(relay)
+            relay = await self.start_relay("127.0.0.1:1")
+            follower = await self.open_follower(relay)
             self.assertEqual(follower.status, 503)
             self.assertIn(b"Retry-After: 1\r\n", follower.head)
             await until(lambda: len(logs.records) >= 2)
         self.assertEqual(logs.records[0].getMessage(), "relay up, no list yet")
         self.assertIn("127.0.0.1:1", str(logs.records[1].__dict__["pairs"]["source"]))
 
-    async def test_an_empty_source_is_a_list(self) -> None:
-        source = await self.source()
-        source.version, source.entries = 0, []
-        relay = await self.ready(source.stand_in.address)
-        follower = await self.follower(relay)
-        await until(lambda: bool(follower.told))
-        self.assertEqual(follower.told[0], server_list(0, True))
-        source.change(of("a", "a1"))
-        await until(lambda: len(follower.told) == 2)
-
-    async def test_a_restarted_relay_tells_followers_of_before_only_changes(self) -> None:
-        source = await self.source()
-        source.first = {0: line(10, False, of("a", "a2"), of("b", "b0", "Gone"))}
-        relay = await self.ready(source.stand_in.address)
-        followers = [await self.follower(relay, "?watch=1&after=7") for _ in range(20)]
-        await until(lambda: all(follower.told for follower in followers))
+    async def test_an_empty_snapshot_counts_as_a_list(self) -> None:
+        source = await self.start_source()
+        source.generation, source.entries = 0, []
+        relay = await self.start_ready_relay(source.stand_in.address)
+        follower = await self.open_follower(relay)
+        await until(lambda: bool(follower.objects))
+        self.assertEqual(follower.objects[0], server_list(0, True))
+        source.change(service_entry("a", "a1"))
+        await until(lambda: len(follower.objects) == 2)
+
+    async def test_a_restarted_relay_sends_deltas_to_earlier_followers(self) -> None:
+        source = await self.start_source()
+        source.first_objects = {
+            0: encode_line(10, False, service_entry("a", "a2"), service_entry("b", "b0", "Gone"))
+        }
+        relay = await self.start_ready_relay(source.stand_in.address)
+        followers = [await self.open_follower(relay, "?watch=1&after=7") for _ in range(20)]
+        await until(lambda: all(follower.objects for follower in followers))
         for follower in followers:
-            self.assertEqual((follower.told[0]["reset"], follower.names(0)), (False, ["b0", "a2"]))
+            self.assertEqual((follower.objects[0]["reset"], follower.names(0)), (False, ["b0", "a2"]))
 
-    async def test_at_the_end_watches_end_in_order(self) -> None:
-        source = await self.source()
-        relay = await self.ready(source.stand_in.address)
-        followers = [await self.follower(relay, "?watch=1&after=10") for _ in range(5)]
+    async def test_at_shutdown_every_watch_ends_with_the_last_chunk(self) -> None:
+        source = await self.start_source()
+        relay = await self.start_ready_relay(source.stand_in.address)
+        followers = [await self.open_follower(relay, "?watch=1&after=10") for _ in range(5)]
         await until(lambda: len(relay.followers) == 5)
         with mock.patch.object(server_module, "SHUTDOWN_SPREAD_S", 0.2):
             await relay.close()
-        await until(lambda: all(follower.ended for follower in followers))
-        self.assertTrue(all(follower.last_chunk for follower in followers))
+        await until(lambda: all(follower.has_ended for follower in followers))
+        self.assertTrue(all(follower.has_last_chunk for follower in followers))
 
-    async def test_at_the_limit_those_who_are_served_are_served_on(self) -> None:
-        source = await self.source()
+    async def test_at_the_limit_a_new_follower_gets_503_and_served_ones_go_on(self) -> None:
+        source = await self.start_source()
         with self.assertLogs("coraldeal.relay.server", "WARNING") as logs:
-            relay = await self.ready(source.stand_in.address, sockets=16)
+            relay = await self.start_ready_relay(source.stand_in.address, max_descriptors=16)
             self.assertEqual((relay.limit, relay.reserve), (12, 4))
-            held = [await self.follower(relay, "?watch=1&after=10") for _ in range(12)]
-            late = await self.follower(relay, "?watch=1&after=10")
-            self.assertEqual(late.status, 503)
-            near = [await asyncio.open_connection(*relay.address.split(":")) for _ in range(6)]
-            source.change(of("a", "a1"))
-            await until(lambda: all(follower.told for follower in held))
+            served = [await self.open_follower(relay, "?watch=1&after=10") for _ in range(12)]
+            beyond_limit = await self.open_follower(relay, "?watch=1&after=10")
+            self.assertEqual(beyond_limit.status, 503)
+            idle_connections = [await asyncio.open_connection(*relay.address.split(":")) for _ in range(6)]
+            source.change(service_entry("a", "a1"))
+            await until(lambda: all(follower.objects for follower in served))
             self.assertIn("followers at their limit", logs.output[0])
-            for _, writer in near:
+            for _, writer in idle_connections:
                 writer.close()
-        held[0].leave()
+        served[0].close()
         await until(lambda: len(relay.followers) == 11)
         with mock.patch.object(server_module, "REQUEST_TIMEOUT_S", 0.1):
-            again = await self.follower(relay, "?watch=1&after=11")
-        self.assertEqual(again.status, 200)
+            next_follower = await self.open_follower(relay, "?watch=1&after=11")
+        self.assertEqual(next_follower.status, 200)
 
 
-class Alternatives(RelayCase):
-    """A node's watch that goes on at the next of several sources."""
+class SourceFailover(RelayCase):
+    """A node's watch, which is reopened at the next of several relays or sources."""
 
-    async def test_it_goes_on_elsewhere_with_after_when_a_relay_dies_or_falls_silent(self) -> None:
-        source = await self.source()
-        good = await self.ready(source.stand_in.address)
-        whole = line(10, True, of("a", "a1"))
-        for name, play in (
-            ("silent", watch(whole)),
-            ("ended", watch(whole, then=lambda: asyncio.sleep(0))),
+    async def test_after_a_silent_or_ended_watch_a_node_gets_deltas_from_another_relay(self) -> None:
+        source = await self.start_source()
+        good = await self.start_ready_relay(source.stand_in.address)
+        snapshot = encode_line(10, True, service_entry("a", "a1"))
+        for name, respond in (
+            ("silent", watch(snapshot)),
+            ("ended", watch(snapshot, then=lambda: asyncio.sleep(0))),
         ):
             with self.subTest(name), mock.patch.object(discovery_module, "SILENCE", 0.3):
-                bad = await self.stand_in(play)
-                told: list[ServerList] = []
+                faulty = await self.stand_in(respond)
+                lists: list[ServerList] = []
                 failures: list[int] = []
                 discovery = Discovery(
                     None,
                     lambda text: read_list(text, 0),
-                    told.append,
+                    lists.append,
                     lambda: failures.append(1),  # noqa: B023
                     ("a",),
-                    (bad.address, good.address),
+                    (faulty.address, good.address),
                     "7",
                 )
-                discovery.sources = [bad.address, good.address]
-                discovery.address = bad.address
+                discovery.sources = [faulty.address, good.address]
+                discovery.address = faulty.address
                 discovery.follow()
                 await until(lambda: len(good.followers) == 1)
-                source.change(of("a", "a1", "Terminating"))
-                await until(lambda t=told: len(t) == 2)  # type: ignore[misc]
-                self.assertEqual((told[1].whole, failures), (False, []))
+                source.change(service_entry("a", "a1", "Terminating"))
+                await until(lambda received=lists: len(received) == 2)  # type: ignore[misc]
+                self.assertEqual((lists[1].whole, failures), (False, []))
                 await discovery.close()
                 await until(lambda: not good.followers)
-                source.version -= 1
+                source.generation -= 1
                 good.state.generation = 10
 
-    async def test_all_failed_is_told_and_orders_differ(self) -> None:
+    async def test_failure_of_all_sources_is_reported_and_each_node_has_its_own_order(self) -> None:
         failed = asyncio.Event()
         addresses = [f"127.0.0.1:{port}" for port in (1, 2, 3)]
         with mock.patch.object(discovery_module, "GO_ON_WITHIN", 0.01):
             discovery = Discovery(None, lambda t: read_list(t, 0), print, failed.set, (), addresses, "7")
             discovery.follow()
             await asyncio.wait_for(failed.wait(), 3)
-        firsts = {
+        first_addresses = {
             Discovery(None, lambda t: read_list(t, 0), print, print, (), addresses, str(seed)).address: None
             for seed in range(40)
         }
-        self.assertEqual(sorted(map(str, firsts)), addresses)
+        self.assertEqual(sorted(map(str, first_addresses)), addresses)
+
 
+class OperatorTables(unittest.TestCase):
+    """The tables `[relay]` and `[lists]` of the operator's file."""
 
-class Tables(unittest.TestCase):
-    def test_keys_are_checked_and_named(self) -> None:
+    def test_an_invalid_key_raises_an_error_that_names_it(self) -> None:
         folder = self.enterContext(tempfile.TemporaryDirectory())
-        path = Path(folder) / "own.toml"
-        for text, word in (
+        path = Path(folder) / "operator.toml"
+        for text, message in (
             ('[relay]\nlisten = "x"', "relay.listen: .* address:port"),
             ("[relay]\nlisten = 5", "relay.listen: 5 is not text"),
             ('[relay]\nsources = "127.0.0.1:1"', "relay.sources: .* list of texts"),
@@ -466,12 +510,12 @@
             ('[lists]\nsource = ["127.0.0.1:1"]', "lists.source: no such key"),
         ):
             path.write_text(text)
-            with self.subTest(text), self.assertRaisesRegex(SettingsError, word):
+            with self.subTest(text), self.assertRaisesRegex(SettingsError, message):
                 read_operator(str(path))
         path.write_text('[relay]\nlisten = "127.0.0.1:0"\nsources = ["127.0.0.1:1"]\nfollowers = 5')
         self.assertEqual(read_operator(str(path)).relay, RelayTable("127.0.0.1:0", ("127.0.0.1:1",), (), 5))
         with self.assertRaisesRegex(SettingsError, "relay needs both"):
-            asyncio.run(self.make())
+            asyncio.run(self.create_relay_without_table())
 
-    async def make(self) -> Relay:
+    async def create_relay_without_table(self) -> Relay:
         return Relay(RelayTable(), "7")
