--- a/coraldeal/relay/link.py
+++ b/coraldeal/relay/link.py
@@ -39,7 +39,7 @@
 
 
 def _parse_age_us(response: aiohttp.ClientResponse) -> int:
-    """The age of the data by the `Age` header. Discovery, the source itself, sends none: its age is 0."""
+    """The age of the data by the `Age` header; 0 without one, since discovery itself sends none."""
     text = response.headers.get("Age", "0")
     return int(text[:9]) * 1_000_000 if text.isascii() and text.isdigit() else 0
 
@@ -97,7 +97,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def close(self) -> None:
-        """Ends the watch and the task, and waits for that."""
+        """Ends the task and its watch, and waits until both have ended."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
--- a/coraldeal/relay/state.py
+++ b/coraldeal/relay/state.py
@@ -26,6 +26,7 @@
 # For how many start generations an encoded text is cached, per service and per subscription.
 MAX_CACHED_TEXTS = 16
 
+# The lifecycle of a removed entry.
 GONE = "Gone"
 
 
@@ -113,7 +114,7 @@
 
 
 class Change(NamedTuple):
-    """The last change of an entry: the entry as it is since that generation, or its tombstone."""
+    """The last change of an entry: the entry as it has been since then, or its tombstone."""
 
     generation: int
     removed: bool
@@ -132,8 +133,8 @@
         self.last_changed = -1
         # The subscriptions that name this service.
         self.subscriptions: dict[Subscription, None] = {}
-        # Encoded once for all subscriptions: by a generation, the tombstones and the entries changed after
-        # it.
+        # The tombstones and the entries changed after a generation, by that generation; encoded once for all
+        # subscriptions.
         self.encoded_changes: dict[int, tuple[list[bytes], list[bytes]]] = {}
 
     def record_change(self, name: str, change: Change) -> None:
@@ -387,7 +388,7 @@
             self.delta_floor = max(self.delta_floor, generation)
 
     def _mark_unfiltered_subscription(self, generation: int) -> None:
-        """Records the change at the subscription to all services, which no service refers to."""
+        """Records the change at the subscription to all services, which no service lists."""
         if (subscription := self.subscriptions.get(())) is not None:
             subscription.last_changed = generation
 
@@ -436,16 +437,16 @@
         return cursor.generation > self.generation and cursor.epoch == self.epoch
 
     def invalidate_if_ahead(self, cursor: Cursor, source_generation: int) -> None:
-        """Treats a follower's generation as one of another epoch if the source itself is behind that.
+        """Treats a follower's generation as one of another epoch if the source itself is at a lower one.
 
-        The source was asked after the follower came. Nothing follows where the list held here is ahead of the
-        source too; then the list has to be fetched again first.
+        The source was asked after the follower came. Where the list held here is ahead of the source too,
+        nothing is known about the follower yet: the list has to be fetched again first.
         """
         if self.is_ahead(cursor) and cursor.generation > source_generation >= self.generation:
             cursor.epoch = -1
 
     def _is_in_gap(self, generation: int) -> bool:
-        """Whether a generation lies inside a gap, so that a follower there may know entries unknown here."""
+        """Whether a generation lies inside a gap: a follower at it may hold entries that are unknown here."""
         at = bisect_left(self.gaps, (generation, 0)) - 1
         return at >= 0 and generation < self.gaps[at][1]
 
@@ -460,7 +461,7 @@
         return bool(self.gaps) and self._is_in_gap(cursor.generation)
 
     def encode_update(self, cursor: Cursor) -> bytes:
-        """Encodes what a follower has not received as one object, and moves its cursor to the present."""
+        """Encodes what a follower has not received as one object, and advances its cursor to the present."""
         generation = cursor.generation
         is_snapshot = (
             cursor.needs_snapshot
@@ -487,7 +488,7 @@
         return b'{"generation":%d,"reset":false,"instances":[]}\n' % self.generation
 
     def _encode_object(self, subscription: Subscription, after: int) -> bytes:
-        """Encodes the delta after a generation, or the snapshot for -1; caches it for the other followers."""
+        """Encodes the delta after a generation, or the snapshot for -1; caches it if followers share it."""
         if self.encoded_at != (self.epoch, self.generation):
             self.encoded_at = (self.epoch, self.generation)
             for each in self.subscriptions.values():
