--- a/coraldeal/relay/route.py
+++ b/coraldeal/relay/route.py
@@ -23,7 +23,7 @@
 MIN_HEARTBEAT_INTERVAL_US = 200_000
 
 
-def in_own_order(addresses: Sequence[str], seed: str) -> list[str]:
+def seeded_shuffle(addresses: Sequence[str], seed: str) -> list[str]:
     """The addresses in a pseudo-random order that depends on the seed, so that followers spread evenly.
 
     Followers that lose the same relay spread evenly over the others too. That needs the two nested checksums:
@@ -44,7 +44,7 @@
     __slots__ = ("addresses", "consecutive_failures", "delay_draws", "index", "last_contact_us", "seed")
 
     def __init__(self, addresses: Sequence[str], seed: str) -> None:
-        self.addresses = in_own_order(addresses, seed)
+        self.addresses = seeded_shuffle(addresses, seed)
         self.seed = seed
         self.index = 0
         # How many retry delays were drawn: the counter of the seeded jitter.
