--- a/coraldeal/relay/state.py
+++ b/coraldeal/relay/state.py
@@ -335,11 +335,11 @@
 
     def _apply_entry(self, entry: EntryUpdate, generation: int, is_backfill: bool, is_moved: bool) -> None:
         """Applies one entry; `is_moved`: this update removes it from one service and adds it to another."""
-        held = self.entries.get(entry.name)
+        current_service = self.entries.get(entry.name)
         if entry.removed:
-            if held is not None and (not is_moved or held.name == entry.service):
+            if current_service is not None and (not is_moved or current_service.name == entry.service):
                 self._remove_entry(entry.name, generation, entry.encoded)
-            if held is None or (held.name != entry.service and entry.service):
+            if current_service is None or (current_service.name != entry.service and entry.service):
                 service = self._get_or_create_service(entry.service)
                 # A later update replaces an existing tombstone too: the entry may have been added and removed
                 # again within the changes that the update coalesces.
@@ -347,17 +347,17 @@
                     self._add_tombstone(service, entry.name, generation, entry.encoded)
             return
         if (
-            held is not None
-            and held.name == entry.service
-            and held.changes[entry.name].encoded == entry.encoded
+            current_service is not None
+            and current_service.name == entry.service
+            and current_service.changes[entry.name].encoded == entry.encoded
         ):
             if is_backfill or is_moved:
                 # The entry is recorded as changed though it is the same: followers that get its tombstone
                 # from the other service must get the entry after that.
-                held.record_change(entry.name, Change(generation, False, entry.encoded))
+                current_service.record_change(entry.name, Change(generation, False, entry.encoded))
                 self._mark_unfiltered_subscription(generation)
             return
-        if held is not None and held.name != entry.service:
+        if current_service is not None and current_service.name != entry.service:
             # The entry has moved: followers of its old service alone must see it removed.
             self._remove_entry(entry.name, generation, None)
         service = self._get_or_create_service(entry.service)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -94,7 +94,7 @@
 
 
 class Follower:
-    """A follower: it reads the objects and heartbeats of one watch, or one snapshot's head."""
+    """A follower: it reads the objects and heartbeats of a watch, or the head of another response."""
 
     def __init__(self, address: str, query: str) -> None:
         self.address, self.query = address, query
@@ -237,7 +237,7 @@
 
 
 class Liveness(RelayCase):
-    """What a relay takes for a sign that its source is alive, and what it passes on of that."""
+    """What counts as a sign of a live source, and which heartbeats and ages a relay forwards."""
 
     async def test_a_silent_source_stops_the_heartbeats_at_every_relay(self) -> None:
         source = await self.start_source()
