--- a/coraldeal/net/discovery.py
+++ b/coraldeal/net/discovery.py
@@ -45,9 +45,9 @@
 
 def _in_own_order(sources: Sequence[str], seed: str) -> list[str]:
     # Off where no sources are named, and not imported then.
-    from coraldeal.relay.route import in_own_order
+    from coraldeal.relay.route import seeded_shuffle
 
-    return in_own_order(sources, seed)
+    return seeded_shuffle(sources, seed)
 
 
 def call_limits(has_agent: bool, has_sources: bool) -> CallLimits:
--- a/coraldeal/rig/scale/topology.py
+++ b/coraldeal/rig/scale/topology.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping, Sequence
 from typing import Protocol
 
-from coraldeal.relay.route import in_own_order
+from coraldeal.relay.route import seeded_shuffle
 
 
 class Topology(Protocol):
@@ -38,4 +38,4 @@
         self.regions = regions
 
     def addresses(self, region: int, number: int) -> list[str]:
-        return in_own_order(self.regions[region], str(number))
+        return seeded_shuffle(self.regions[region], str(number))
