--- a/coraldeal/rig/clock.py
+++ b/coraldeal/rig/clock.py
@@ -1,4 +1,4 @@
-"""The rig's clock and an event loop whose timers are not rounded up to milliseconds."""
+"""The rig's clock, and an event loop whose timers are not rounded up to milliseconds."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 
 
 def now_us() -> int:
-    """Monotonic, whole microseconds, one clock for all processes of the machine."""
+    """Return the monotonic time in whole microseconds; all processes of the machine share this clock."""
     return time.monotonic_ns() // 1000
 
 
 async def sleep_until(at_us: int) -> None:
-    """Until this time of the rig's clock; not at all where it has gone by."""
+    """Sleep until this time of the rig's clock; return at once if the time has passed."""
     while (now := now_us()) < at_us:
         await asyncio.sleep((at_us - now) / 1e6)
 
 
 def own_cpu_s() -> float:
-    """CPU seconds that this process has used."""
-    used = resource.getrusage(resource.RUSAGE_SELF)
-    return used.ru_utime + used.ru_stime
+    """Return the CPU seconds, user and system, that this process has used."""
+    usage = resource.getrusage(resource.RUSAGE_SELF)
+    return usage.ru_utime + usage.ru_stime
 
 
-class _Precise(selectors.EpollSelector):
-    """epoll waits in whole milliseconds, rounded up: an answer due in 5.0 ms would go out after 5.6.
+class _PreciseSelector(selectors.EpollSelector):
+    """An epoll selector with time-outs in microseconds.
 
-    The epoll descriptor is waited for with select, whose time-out is in microseconds.
+    epoll waits in whole milliseconds, rounded up: an answer scheduled for 5.0 ms would go out after 5.6 ms.
+    This class waits for the epoll descriptor with select, whose time-out is in microseconds.
     """
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
@@ -43,13 +44,14 @@
 
 
 def run(main: Coroutine[Any, Any, Any]) -> Any:
-    """As asyncio.run, with precise timers where the system has epoll.
+    """Run a coroutine as asyncio.run does, with precise timers where the system has epoll.
 
-    The collector is off: books hold millions of rows, and its pauses of 0.3 s were taken for the program's. A
-    process of the rig ends with its run; what cycles hold until then is little.
+    The garbage collector is switched off: a run keeps millions of records, and collector pauses of 0.3 s were
+    mistaken for delays of the program under test. A process of the rig ends with its run, so the memory that
+    reference cycles keep until then is small.
     """
     gc.disable()
     if not hasattr(select, "epoll"):
         return asyncio.run(main)
-    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(_Precise())) as runner:
+    with asyncio.Runner(loop_factory=lambda: asyncio.SelectorEventLoop(_PreciseSelector())) as runner:
         return runner.run(main)
