--- a/coraldeal/rig/draws.py
+++ b/coraldeal/rig/draws.py
@@ -1,4 +1,8 @@
-"""Chance for plans: one stream a name, so that a new draw in one place moves nothing in another."""
+"""Random streams for plans: each name has its own, so that a new draw in one place changes no other.
+
+A single generator would give every later draw another value as soon as one draw were added, and recorded
+seeds would no longer reproduce their runs.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,6 @@
 import numpy as np
 
 
-def stream(seed: int, name: str) -> np.random.Generator:
-    """The generator of this name; the same for the same seed on every machine."""
+def random_stream(seed: int, name: str) -> np.random.Generator:
+    """Return the generator of this name; it is the same for the same seed on every machine."""
     return np.random.Generator(np.random.PCG64([seed, crc32(name.encode())]))
