--- a/coraldeal/rig/experiment.py
+++ b/coraldeal/rig/experiment.py
@@ -1,7 +1,8 @@
-"""Experiment files: TOML read into typed structures, checked; messages name the key at fault.
+"""Experiment files: TOML parsed into typed, validated structures; error messages name the invalid key.
 
-An experiment is a world, a load, a timeline of troubles, variants to compare, and claims. Times in files are
-in seconds or milliseconds, as each key's name says.
+An experiment is a world (servers, nodes and zones), a load, a timeline of injected faults, variants to
+compare, and assertions over the results. Attribute names are the keys of the file. Times are in seconds or
+milliseconds, as each key's name says.
 """
 
 from __future__ import annotations
@@ -15,168 +16,200 @@
 
 import msgspec
 
-SECONDS_MOST = 3600.0
-SERVERS_MOST = 400
-NODES_MOST = 64
+# Upper limits of an experiment: its length in seconds, servers in a tier, nodes before the first tier.
+MAX_SECONDS = 3600.0
+MAX_SERVERS = 400
+MAX_NODES = 64
 
 
 class ExperimentError(Exception):
-    """An experiment that can't be played: says which key and why."""
+    """An experiment can't be run; the message names the key or the resource, and why."""
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """No key passes unread."""
+class StrictStruct(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+    """Base of all structures of an experiment file; unknown keys are rejected."""
 
 
-class ChokeSpec(Strict):
-    """Overload that lasts makes a server slower until it has been left alone."""
+class ChokeSpec(StrictStruct):
+    """Degradation of a server: lasting overload makes it slower until it has been unloaded for a while."""
 
+    # Overloaded: so many requests more than cores are in flight.
     over: int = 8
+    # The server degrades after so many seconds of overload.
     seconds: float = 2.0
+    # Factor by which a degraded server is slower.
     slower: float = 3.0
+    # The server recovers after so many seconds unloaded, and at the latest after `most_seconds`.
     rest_seconds: float = 2.0
     most_seconds: float = 20.0
 
 
-class TierSpec(Strict):
-    """The servers of one tier."""
+class TierSpec(StrictStruct):
+    """The servers of one tier, all with the same settings but for their speeds."""
 
     name: str = "front"
     servers: int = 4
     cores: int = 2
+    # Requests that a server works on at once; 0: as many as cores.
     slots: int = 0
-    # Speeds are dealt evenly from the first to the second.
+    # Speeds of the servers are spread evenly from the first value to the second.
     speed: tuple[float, float] = (1.0, 1.0)
+    # Requests that may wait for a slot; a server declines more.
     queue: int = 64
+    # Added to each answer, without the use of a core.
     delay_ms: float = 0.0
-    # This tier's part of an inquiry's work.
+    # This tier's fraction of an inquiry's work.
     work_part: float = 1.0
     connections: int = 1024
+    # A server closes connections that are idle for so long.
     idle_seconds: float = 5.0
-    # Idle connections are closed at random between these ages instead.
+    # The idle time of each connection is drawn between these two, where the draw is shorter.
     idle_between_seconds: tuple[float, float] | None = None
+    # Delay of the first request on a connection, and work that a new connection costs.
     handshake_ms: float = 0.0
     handshake_work_ms: float = 0.0
+    # A cold server starts with this fraction of its capacity and grows to all of it in `warm_seconds`.
     cold_from: float = 0.3
     warm_seconds: float = 8.0
+    # A cold server collapses when the work sent to it over `fall_seconds` exceeds its capacity by this
+    # multiple.
     fall_multiple: float = 3.0
     fall_seconds: float = 1.0
     choke: ChokeSpec | None = None
-    # Servers a group (a cell of the list); their work together is limited to a part of their capacity.
+    # Servers in a group (a cell of the list). Their joint work is limited to the fraction `group_limit` of
+    # their capacity; 0: no limit.
     group: int = 4
     group_limit: float = 0.0
-    # How long a group knows a mark again.
+    # How long a group recognizes an idempotency key.
     window_seconds: float = 2.0
+    # One request in so many fails with 500; 0: none.
     error_every: int = 0
+    # Whether running work stops when its sender cancels it.
     stops_running: bool = True
+    # Figures in the load reports of answers, and the time between updates; 0: each answer has fresh ones.
     reports: list[str] = msgspec.field(default_factory=lambda: ["inflight", "queue"])
     report_every_ms: float = 0.0
+    # Whether servers answer health and load probes, and the work of each.
     probes: bool = False
     probe_work_ms: float = 1.0
 
 
-class World(Strict):
-    """Zones, nodes, tiers and the list."""
+class World(StrictStruct):
+    """The system under test: zones, nodes, tiers of servers, and the list of servers."""
 
     zones: list[str] = msgspec.field(default_factory=lambda: ["a"])
     # Added each way between two zones.
     zone_delay_ms: float = 0.0
-    # Nodes before the first tier, placed in the zones in turn.
+    # Nodes before the first tier, assigned to the zones in turn.
     nodes: int = 1
     tiers: list[TierSpec] = msgspec.field(default_factory=lambda: [TierSpec()])
     list_mode: Literal["push", "ask"] = "push"
-    # How late the list tells what happened to a server.
+    # Delay between a change of a server and its publication in the list.
     list_delay_ms: float = 300.0
-    # Which port each node listens on begins here; 0: any free one.
+    # Port of the first node; the next nodes have the ports after it. 0: any free ports.
     first_port: int = 0
-    # How long the front goes on sending to a node that has died.
+    # How long callers go on sending to a node that has died.
     front_notice_ms: float = 500.0
+    # Limit of sockets of a node.
     sockets: int = 4096
-    # Nodes of the first tier have an operators' door; their figures are asked for all the time.
+    # Nodes of the first tier have an admin listener, and the rig asks it for figures all the time.
     doors: bool = False
-    # Processes for the stand-in servers.
+    # Number of processes for the stand-in servers.
     server_processes: int = 1
 
 
-class TrackSpec(Strict):
-    """One kind of inquiry."""
+class RequestClassSpec(StrictStruct):
+    """One class of requests."""
 
     name: str
+    # Weight of the class among all inquiries.
     share: float = 1.0
+    # redoable: idempotent; labelled: idempotent by key; irreversible: not idempotent.
     effect: Literal["redoable", "labelled", "irreversible"] = "redoable"
+    # Servers that share idempotency keys: all, those of a zone, or those of a cell.
     group: Literal["all", "zone", "cell"] = "cell"
+    # Worth of an answer within `expected_ms`, the latency target, and of a later one.
     payoff: float = 1.0
     late_payoff: float = 0.0
     expected_ms: float = 500.0
+    # The deadline of an inquiry, counted from its intended time.
     patience_ms: float = 1000.0
+    # Mean work of a request on a core of speed 1, and its distribution.
     work_ms: float = 10.0
     work: Literal["fixed", "exponential", "lognormal"] = "exponential"
+    # Standard deviation of lognormal work as a multiple of the mean.
     work_spread: float = 1.0
-    # Calls to the next tier, on average, one after another.
+    # Mean number of calls to the next tier; the calls of a request are sequential.
     calls: float = 0.0
 
 
-class TenantSpec(Strict):
+class TenantSpec(StrictStruct):
+    """One tenant: its weight among all inquiries and its quota; 0: no quota."""
+
     name: str
     share: float = 1.0
     quota_per_s: float = 0.0
 
 
-class StepSpec(Strict):
-    """From this second on the load is so many times its rate; with a ramp it gets there evenly."""
+class StepSpec(StrictStruct):
+    """From second `at` on the load is `rate` times the base rate; a ramp changes it linearly up to then."""
 
     at: float
     rate: float
     ramp: bool = False
 
 
-class BurstSpec(Strict):
+class BurstSpec(StrictStruct):
+    """A burst of `count` inquiries from second `at` on, spread evenly over `over_ms`."""
+
     at: float
     count: int
     over_ms: float = 10.0
 
 
-class BadSpec(Strict):
-    """Callers that do harm: so many connections a second of this kind."""
+class BadSpec(StrictStruct):
+    """Misbehaving callers: so many connections a second of this kind."""
 
     kind: Literal["garbage", "slow_head", "half", "two_lengths", "huge", "no_id", "silent"]
     per_second: float = 1.0
 
 
-class Load(Strict):
-    """What callers ask for."""
+class Load(StrictStruct):
+    """The load: what callers ask for, when, and how they react to answers."""
 
-    tracks: list[TrackSpec] = msgspec.field(default_factory=lambda: [TrackSpec(name="read")])
+    tracks: list[RequestClassSpec] = msgspec.field(default_factory=lambda: [RequestClassSpec(name="read")])
     tenants: list[TenantSpec] = []
     rate: float = 100.0
     arrivals: Literal["poisson", "constant"] = "poisson"
     shape: list[StepSpec] = []
     bursts: list[BurstSpec] = []
-    # A CSV of seconds and track, instead of the rate.
+    # Path of a CSV with the columns `seconds` and `track` (request class), instead of the rate.
     trace: str = ""
-    # So many callers that ask again as soon as they are answered, instead of the rate.
+    # A closed loop instead of the rate: so many callers, each asking again as soon as it has an answer.
     closed: int = 0
-    # `servers`: past the nodes, straight to the servers of the first tier.
+    # `servers`: callers bypass the nodes and send to the servers of the first tier.
     target: Literal["nodes", "servers"] = "nodes"
+    # Number of processes for the callers.
     processes: int = 1
-    # Further tries after a deferral or a failure, and the wait before each.
+    # Retries after a rejection or a failure, and the range of the wait before each.
     retries: int = 0
     retry_wait_ms: tuple[float, float] = (0.0, 0.0)
-    # The part of callers that obey Retry-After.
+    # Fraction of the callers that obey Retry-After.
     obey: float = 1.0
-    # Whether further tries are marked as such.
+    # Whether retries carry the header that marks them.
     marks_retries: bool = True
-    # A try is given up after this part of the track's patience.
+    # A try times out after this fraction of the class's deadline.
     try_part: float = 1.0
+    # Fraction of the callers that leave without an answer, and the range of the time after which they do.
     leave: float = 0.0
     leave_after_ms: tuple[float, float] = (10.0, 100.0)
-    # Connections that ask once and stay.
+    # Number of connections that send one request and stay open.
     idle: int = 0
     bad: list[BadSpec] = []
 
 
-class Event(Strict):
-    """One trouble on the timeline."""
+class Event(StrictStruct):
+    """One injected fault, or one change such as a deployment, on the timeline."""
 
     at: float
     do: Literal[
@@ -184,24 +217,28 @@
         "deploy", "list_late", "list_down", "list_wrong", "node_kill", "node_term", "node_hup",
         "node_upgrade",
     ]  # fmt: skip
-    # Names of servers (`front-0`) or nodes (`node-0`), a part of them (`50%`), or `all`.
+    # Names of servers (`front-0`) or nodes (`node-0`), a number of them (`2`), a percentage of them (`50%`),
+    # or `all`; a prefix limits the last two to a tier (`front:50%`).
     who: list[str] = msgspec.field(default_factory=lambda: ["all"])
-    # For how long; 0: to the end.
+    # Duration; 0: to the end of the experiment.
     seconds: float = 0.0
-    # By how many times slower; for spoil the part of answers.
+    # For slow: the factor; for spoil: the fraction of answers; for list_late: the extra delay in seconds.
     by: float = 3.0
+    # For spoil: how answers are malformed.
     kind: str = "noise"
+    # For reset: the byte of the answer after which the connection is reset.
     byte: int = 0
+    # For close_idle: the range, in seconds, of the idle time after which a connection is closed.
     between: tuple[float, float] = (2.0, 8.0)
-    # For deploy: how many at a time, and how long each drains.
+    # For deploy: servers at a time, and the seconds that each drains.
     batch: int = 1
     drain_seconds: float = 2.0
-    # Comes back warm; else cold.
+    # Whether the server restarts warm; otherwise cold.
     warm: bool = False
 
 
-class RandomTroubles(Strict):
-    """So many troubles drawn from the seed, of these kinds."""
+class RandomFaults(StrictStruct):
+    """Injected faults drawn from the seed: their number, their kinds and the range of their durations."""
 
     count: int = 0
     kinds: list[str] = msgspec.field(
@@ -220,60 +257,65 @@
     seconds: tuple[float, float] = (1.0, 5.0)
 
 
-class Variant(Strict):
-    """One of the things compared."""
+class Variant(StrictStruct):
+    """One of the variants that an experiment compares."""
 
     name: str
-    # Keys of the experiment that differ, by their path: `load.closed`, `world.tiers.0.delay_ms`.
+    # Keys of the experiment that differ, by their dotted path: `load.closed`, `world.tiers.0.delay_ms`.
     set: dict[str, Any] = {}
-    # Keys of the node's own configuration that differ, by their path.
+    # Keys of the node's own configuration that differ, by their dotted path.
     node: dict[str, Any] = {}
-    # Keys of the operator's own file, by their path.
+    # Keys of the operator's own file, by their dotted path.
     operator: dict[str, Any] = {}
-    # The program at this commit; empty: as it stands.
+    # The commit of the program that nodes run; empty: the working tree.
     commit: str = ""
-    # A baseline in place of the decisions: random, round_robin, least_requests, or a planted fault.
+    # A baseline instead of the balancer's decisions: random, round_robin, least_requests, or a planted fault.
     policy: str = ""
 
 
-class Experiment(Strict):
+class Experiment(StrictStruct):
     """A whole experiment file."""
 
     name: str
     about: str = ""
     seed: int = 1
     seconds: float = 20.0
-    # Not counted in figures, so that connections and caps are there.
+    # Warm-up that figures leave out: connections are opened and concurrency limits found meanwhile.
     settle_seconds: float = 1.0
     repetitions: int = 1
+    # Whether all variants run at the same time.
     side_by_side: bool = False
     world: World = msgspec.field(default_factory=World)
     load: Load = msgspec.field(default_factory=Load)
     timeline: list[Event] = []
-    troubles: RandomTroubles = msgspec.field(default_factory=RandomTroubles)
-    # Keys of the nodes' configuration, by their path.
+    troubles: RandomFaults = msgspec.field(default_factory=RandomFaults)
+    # Keys of the nodes' configuration, by their dotted path.
     node: dict[str, Any] = {}
-    # Keys of the operator's own file, by their path.
+    # Keys of the operator's own file, by their dotted path.
     operator: dict[str, Any] = {}
     variants: list[Variant] = []
-    # Lists of values by the path of their key: one variant for each combination of them.
+    # Lists of values by the dotted path of their key: each combination of values is a variant.
     matrix: dict[str, list[Any]] = {}
-    # `peak_offered < 1.5`, `lost == 0`: they give the exit status.
+    # Assertions, such as `peak_offered < 1.5` or `lost == 0`; they determine the exit status.
     claims: list[str] = []
+    # Whether the four rules are checked.
     rules: Literal["check", "skip"] = "check"
+    # How long after a node is notified of a drain it may still send requests to the server.
     drain_grace_ms: float = 1500.0
-    # What sockets and a busy machine may add to the times in the rules.
+    # Delay that sockets and a busy machine may add to the times in the rules.
     slack_ms: float = 100.0
 
 
-_PATH = re.compile(r"(.*?)(?: - at `(\$.*)`)?$", re.S)
+# Splits a message of msgspec into its text and the path of the value.
+_MESSAGE_PATH = re.compile(r"(.*?)(?: - at `(\$.*)`)?$", re.S)
 
 
 def _convert(values: dict[str, Any], where: str) -> Experiment:
+    """Convert parsed TOML to an experiment and check it; raises ExperimentError that begins with `where`."""
     try:
         experiment = msgspec.convert(values, Experiment, strict=False)
     except msgspec.ValidationError as error:
-        match = _PATH.match(str(error))
+        match = _MESSAGE_PATH.match(str(error))
         assert match is not None
         path = (match[2] or "").removeprefix("$").removeprefix(".").replace("[...]", ".*")
         raise ExperimentError(f"{where}: {path + ': ' if path else ''}{match[1]}") from None
@@ -282,74 +324,86 @@
 
 
 def _check(experiment: Experiment, where: str) -> None:
-    """What the types alone don't say."""
+    """Check what the types alone do not; raises ExperimentError for the first invalid key."""
 
-    def must(true: bool, key: str, text: str) -> None:
-        if not true:
+    def require(holds: bool, key: str, text: str) -> None:
+        if not holds:
             raise ExperimentError(f"{where}: {key}: {text}")
 
     world, load = experiment.world, experiment.load
-    must(
-        0 < experiment.seconds <= SECONDS_MOST,
+    require(
+        0 < experiment.seconds <= MAX_SECONDS,
         "seconds",
-        f"{experiment.seconds} is not in 0 to {SECONDS_MOST}",
+        f"{experiment.seconds} is not above 0 and up to {MAX_SECONDS}",
     )
-    must(
+    require(
         0 <= experiment.settle_seconds < experiment.seconds,
         "settle_seconds",
-        f"{experiment.settle_seconds} is not under the {experiment.seconds} of the whole",
+        f"{experiment.settle_seconds} is not from 0 to below seconds, {experiment.seconds}",
     )
-    must(experiment.repetitions >= 1, "repetitions", "there must be one at least")
-    must(bool(world.zones), "world.zones", "there must be one at least")
-    must(len(set(world.zones)) == len(world.zones), "world.zones", "a name stands twice")
-    must(1 <= world.nodes <= NODES_MOST, "world.nodes", f"{world.nodes} is not in 1 to {NODES_MOST}")
-    must(bool(world.tiers), "world.tiers", "there must be one at least")
-    must(len(world.tiers) <= 3, "world.tiers", "more than three are not played")
-    must(world.server_processes >= 1, "world.server_processes", "there must be one at least")
-    names = [tier.name for tier in world.tiers]
-    must(len(set(names)) == len(names), "world.tiers", "two have one name")
+    require(experiment.repetitions >= 1, "repetitions", "must be at least 1")
+    require(bool(world.zones), "world.zones", "the list is empty")
+    require(len(set(world.zones)) == len(world.zones), "world.zones", "a zone is listed twice")
+    require(1 <= world.nodes <= MAX_NODES, "world.nodes", f"{world.nodes} is not from 1 to {MAX_NODES}")
+    require(bool(world.tiers), "world.tiers", "the list is empty")
+    require(len(world.tiers) <= 3, "world.tiers", "more than 3 tiers are not supported")
+    require(world.server_processes >= 1, "world.server_processes", "must be at least 1")
+    tier_names = [tier.name for tier in world.tiers]
+    require(len(set(tier_names)) == len(tier_names), "world.tiers", "two tiers have the same name")
     for number, tier in enumerate(world.tiers):
-        at = f"world.tiers[{number}]"
-        must(
-            1 <= tier.servers <= SERVERS_MOST,
-            f"{at}.servers",
-            f"{tier.servers} is not in 1 to {SERVERS_MOST}",
+        key = f"world.tiers[{number}]"
+        require(
+            1 <= tier.servers <= MAX_SERVERS,
+            f"{key}.servers",
+            f"{tier.servers} is not from 1 to {MAX_SERVERS}",
+        )
+        require(tier.cores >= 1, f"{key}.cores", "must be at least 1")
+        require(min(tier.speed) > 0, f"{key}.speed", "must be above 0")
+        require(0 < tier.cold_from <= 1, f"{key}.cold_from", f"{tier.cold_from} is not above 0 and up to 1")
+        require(tier.group >= 1, f"{key}.group", "must be at least 1")
+    require(bool(load.tracks), "load.tracks", "the list is empty")
+    classes = [request_class.name for request_class in load.tracks]
+    require(len(set(classes)) == len(classes), "load.tracks", "two classes have the same name")
+    for number, request_class in enumerate(load.tracks):
+        key = f"load.tracks[{number}]"
+        require(
+            re.fullmatch(r"[\w.-]+", request_class.name) is not None,
+            f"{key}.name",
+            "must consist of letters, digits, _, . and -",
+        )
+        require(request_class.share >= 0, f"{key}.share", "is below 0")
+        require(
+            request_class.expected_ms <= request_class.patience_ms,
+            f"{key}.expected_ms",
+            "is above patience_ms",
         )
-        must(tier.cores >= 1, f"{at}.cores", "there must be one at least")
-        must(min(tier.speed) > 0, f"{at}.speed", "must be above 0")
-        must(0 < tier.cold_from <= 1, f"{at}.cold_from", f"{tier.cold_from} is not in 0 to 1")
-        must(tier.group >= 1, f"{at}.group", "there must be one at least")
-    must(bool(load.tracks), "load.tracks", "there must be one at least")
-    tracks = [track.name for track in load.tracks]
-    must(len(set(tracks)) == len(tracks), "load.tracks", "two have one name")
-    for number, track in enumerate(load.tracks):
-        at = f"load.tracks[{number}]"
-        must(re.fullmatch(r"[\w.-]+", track.name) is not None, f"{at}.name", "is not one word")
-        must(track.share >= 0, f"{at}.share", "is below 0")
-        must(track.expected_ms <= track.patience_ms, f"{at}.expected_ms", "is above patience_ms")
-    must(sum(track.share for track in load.tracks) > 0, "load.tracks", "the shares are all 0")
-    must(load.rate >= 0, "load.rate", "is below 0")
-    must(load.processes >= 1, "load.processes", "there must be one at least")
-    must(0 < load.try_part <= 1, "load.try_part", f"{load.try_part} is not in 0 to 1")
-    ats = [step.at for step in load.shape]
-    must(ats == sorted(ats), "load.shape", "the steps are not in order of time")
+    require(
+        sum(request_class.share for request_class in load.tracks) > 0,
+        "load.tracks",
+        "the shares of all classes are 0",
+    )
+    require(load.rate >= 0, "load.rate", "is below 0")
+    require(load.processes >= 1, "load.processes", "must be at least 1")
+    require(0 < load.try_part <= 1, "load.try_part", f"{load.try_part} is not above 0 and up to 1")
+    step_times = [step.at for step in load.shape]
+    require(step_times == sorted(step_times), "load.shape", "the steps are not in order of their time")
     for number, event in enumerate(experiment.timeline):
-        must(
+        require(
             event.do != "node_upgrade" or world.doors,
             f"timeline[{number}].do",
-            "node_upgrade wants world.doors = true",
+            "node_upgrade requires world.doors = true",
         )
-        must(
+        require(
             0 <= event.at < experiment.seconds,
             f"timeline[{number}].at",
-            f"{event.at} is not within the experiment",
+            f"{event.at} is not within the {experiment.seconds} seconds of the experiment",
         )
-    named = [variant.name for variant in experiment.variants]
-    must(len(set(named)) == len(named), "variants", "two have one name")
+    variant_names = [variant.name for variant in experiment.variants]
+    require(len(set(variant_names)) == len(variant_names), "variants", "two variants have the same name")
 
 
 def read_experiment(path: Path) -> tuple[Experiment, dict[str, Any]]:
-    """An experiment and the values it was made from; raises ExperimentError."""
+    """Read an experiment file; return the experiment and the parsed TOML. Raises ExperimentError."""
     try:
         values = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError) as error:
@@ -359,56 +413,62 @@
     return _convert(values, str(path)), values
 
 
-def put(values: Any, path: str, value: Any, where: str) -> None:
-    """Set the key at a dotted path; numbers are places in a list. Tables on the way are made."""
+def set_by_path(values: Any, path: str, value: Any, where: str) -> None:
+    """Set the value at a dotted path; numbers in it are indices of lists, and missing tables are created.
+
+    Raises ExperimentError, with `where` at its head, for an index outside a list and a key inside a plain
+    value.
+    """
     keys = path.split(".")
-    for at, key in enumerate(keys):
-        last = at == len(keys) - 1
+    for depth, key in enumerate(keys):
+        is_last = depth == len(keys) - 1
         if isinstance(values, list):
             if not key.isdigit() or int(key) >= len(values):
-                raise ExperimentError(f"{where}: {path}: there is no place {key} in that list")
-            if last:
+                raise ExperimentError(f"{where}: {path}: the list has no index {key}")
+            if is_last:
                 values[int(key)] = value
             else:
                 values = values[int(key)]
         elif isinstance(values, dict):
-            if last:
+            if is_last:
                 values[key] = value
             else:
-                values = values.setdefault(key, [{}] if keys[at + 1].isdigit() else {})
+                values = values.setdefault(key, [{}] if keys[depth + 1].isdigit() else {})
         else:
-            raise ExperimentError(f"{where}: {path}: {key} is inside a value")
+            raise ExperimentError(
+                f"{where}: {path}: {key} is a key of a plain value, not of a table or a list"
+            )
 
 
-def variants_of(
+def expand_variants(
     experiment: Experiment, values: dict[str, Any], where: str
 ) -> list[tuple[Variant, Experiment]]:
-    """Each variant with the experiment as it is to be played for it."""
-    chosen = list(experiment.variants) or [Variant(name="as it stands")]
+    """Return each variant, combined with the matrix, and its experiment; raises ExperimentError."""
+    base_variants = list(experiment.variants) or [Variant(name="as it stands")]
     keys = list(experiment.matrix)
-    for key, column in experiment.matrix.items():
-        if not column:
+    for key, options in experiment.matrix.items():
+        if not options:
             raise ExperimentError(f"{where}: matrix.{key}: the list is empty")
     combined = []
-    for variant in chosen:
+    for variant in base_variants:
         for combination in product(*experiment.matrix.values()):
-            more = dict(zip(keys, combination, strict=True))
-            label = ", ".join(f"{key.rpartition('.')[2]} {value}" for key, value in more.items())
+            settings = dict(zip(keys, combination, strict=True))
+            label = ", ".join(f"{key.rpartition('.')[2]} {value}" for key, value in settings.items())
             name = f"{variant.name}, {label}" if label else variant.name
             combined.append(
                 Variant(
                     name=name,
-                    set={**variant.set, **more},
+                    set={**variant.set, **settings},
                     node=variant.node,
                     operator=variant.operator,
                     commit=variant.commit,
                     policy=variant.policy,
                 )
             )
-    played = []
+    expanded = []
     for variant in combined:
-        mine = copy.deepcopy(values)
+        variant_values = copy.deepcopy(values)
         for key, value in variant.set.items():
-            put(mine, key, value, f"{where}: variant {variant.name}")
-        played.append((variant, _convert(mine, f"{where}: variant {variant.name}")))
-    return played
+            set_by_path(variant_values, key, value, f"{where}: variant {variant.name}")
+        expanded.append((variant, _convert(variant_values, f"{where}: variant {variant.name}")))
+    return expanded
