--- a/coraldeal/rig/jobs.py
+++ b/coraldeal/rig/jobs.py
@@ -1,7 +1,7 @@
-"""What the experiment's own process tells those that it starts, line by line as JSON on their standard input.
+"""Messages between the experiment's process and the child processes that it starts, as lines of JSON.
 
-A child answers with lines on its standard output. Its input at an end is its own end: none is left behind
-when the experiment's process dies.
+A child reads its job and then parent messages from its standard input, and answers on its standard output.
+The end of its input ends the child, so that no child outlives the experiment's process.
 """
 
 from __future__ import annotations
@@ -13,66 +13,71 @@
 
 
 class ServersJob(msgspec.Struct):
-    """Stand-in servers for one process: whole groups of each tier."""
+    """The stand-in servers of one process: whole groups of each tier."""
 
     process: str
+    # Path of the file for the records of the process.
     book: str
     experiment: Experiment
     seed: int
-    # For each tier the places of the servers that are here.
+    # For each tier the indices of the servers in this process.
     places: list[list[int]]
     steps: list[Step]
 
 
 class CallersJob(msgspec.Struct):
-    """Callers for one process."""
+    """The callers of one process."""
 
     process: str
+    # Path of the file for the records of the process.
     book: str
     experiment: Experiment
     seed: int
+    # The index of this process among those of callers.
     number: int
-    # The number, zone and port of each node or server that is sent to.
+    # The number, zone and port of each node or server that callers send to.
     targets: list[tuple[int, str, int]]
+    # Whether the targets are nodes; otherwise servers of the first tier.
     to_nodes: bool
 
 
 class Begin(msgspec.Struct, tag="begin"):
-    """The clock's times at which the load and the timeline start and end."""
+    """Start the load and the timeline; the times are of the rig's clock, in microseconds."""
 
     start_us: int
     end_us: int
 
 
 class Nodes(msgspec.Struct, tag="nodes"):
-    """The node of its own that each server calls the next tier through: its number and port."""
+    """The number and port of the node through which each server calls the next tier."""
 
     ports: dict[str, tuple[int, int]]
 
 
 class Stop(msgspec.Struct, tag="stop"):
-    """Write the book and end."""
+    """Write the records and end."""
 
 
 class Ready(msgspec.Struct, tag="ready"):
-    """A child is up; servers tell the port of each server for each zone of origin."""
+    """A child is up; a process of servers gives the port of each server for each zone of origin."""
 
     ports: dict[str, dict[str, int]] = {}
 
 
 class Progress(msgspec.Struct, tag="progress"):
-    """How it stands, for a live view."""
+    """The progress of a child, for a live view."""
 
-    # For servers: phase, in hand, served, speed as a part of the usual.
+    # For each server: phase, requests in flight, requests served, speed as a fraction of the configured
+    # speed.
     servers: dict[str, tuple[str, int, int, float]] = {}
     counts: dict[str, int] = {}
 
 
 class Failed(msgspec.Struct, tag="failed"):
-    """A child that can't go on."""
+    """A child can't continue, and why."""
 
     why: str
 
 
-Order = Begin | Nodes | Stop
-Told = Ready | Progress | Failed
+ParentMessage = Begin | Nodes | Stop
+ChildMessage = Ready | Progress | Failed
