--- a/coraldeal/rig/model.py
+++ b/coraldeal/rig/model.py
@@ -1,11 +1,13 @@
-"""A server without I/O: cores, slots, a queue, a cold start, choking, a group's limit and its marks.
+"""A model of a server without I/O: cores, slots, a queue, cold start, degradation, groups, idempotency keys.
 
-`ServerModel` is told what happens and when (whole microseconds) and acts by calling its `ModelHost`. Work is
-stated in microseconds on a core of speed 1. Nothing here draws by chance: works come with the requests.
+`ServerModel` receives events with their time (whole microseconds) and acts by calling its `ModelHost`. Work
+is stated in microseconds on a core of speed 1. The model draws nothing at random: the work comes with each
+request.
 
-Sources: the cold rule is the one users state (a cold server does a part of its work; sent more than a
-multiple of that for some time it falls over and stays down); choking is a server whose overload has lasted,
-as one whose caches or collector no longer keep up, and which recovers only when it has been left alone.
+Sources: the rule for cold servers is the one that users state (a cold server has a fraction of its capacity;
+when more than a multiple of that is sent to it for some time, it collapses and stays down). Degradation
+models a server whose overload has lasted, such as one whose caches or garbage collector no longer keep up; it
+recovers only after it has been unloaded for a while.
 """
 
 from __future__ import annotations
@@ -16,268 +18,285 @@
 from typing import Protocol
 
 SECOND = 1_000_000
-# How often the rate of running work follows a server that grows warm.
+# Microseconds between two updates of the processing rate while a server warms up.
 WARM_STEP = 50_000
-# How quickly the means in a load report forget, as the part a second leaves.
-REPORT_KEEPS = 0.3
+# Decay of the averages in a load report: the weight that an old average keeps after one second.
+REPORT_DECAY = 0.3
 
 
-class Verdict(enum.Enum):
-    """What became of a request that reached the server."""
+class RequestOutcome(enum.Enum):
+    """The outcome of a request that reached the server."""
 
     SERVED = "served"
-    # A mark that the group has seen within its window: answered, not run again.
+    # The group has seen the idempotency key within its window: answered, but not executed again.
     REPEATED = "repeated"
     ERROR = "error"
-    # Turned away unread: queue full, too many connections, draining, already over.
+    # Rejected unread: full queue, too many connections, a draining server, or a deadline that has passed.
     DECLINED = "declined"
-    # Called off by its sender before it ended.
-    CALLED_OFF = "called_off"
+    # Cancelled by its sender before it ended.
+    CANCELLED = "called_off"
 
 
 class Phase(enum.Enum):
-    """Where a server's process is in its life."""
+    """The phase of a server's process."""
 
     UP = "up"
     DRAINING = "draining"
-    # Pushed over while cold: it declines all until it is started anew.
-    FALLEN = "fallen"
+    # Collapsed under load while cold: the server declines all requests until it is restarted.
+    COLLAPSED = "fallen"
     DOWN = "down"
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """What a server is. Times are whole microseconds, speeds and shares are plain factors."""
+class ServerSpec:
+    """The properties of a server. Times are whole microseconds; speeds and fractions are plain factors."""
 
     cores: int = 2
-    # How many requests it works on at once; those over the cores share them. 0: as many as cores.
+    # Requests that the server works on at once; slots beyond the cores share the cores. 0: as many as cores.
     slots: int = 0
     speed: float = 1.0
-    # How many wait for a slot; one more is declined.
+    # Requests that may wait for a slot; the server declines more.
     queue: int = 64
-    # Time that every answer takes beside its work, on no core.
+    # Time that every answer takes in addition to its work, without the use of a core.
     delay_us: int = 0
-    # How long the first request on a connection waits, and the work a new connection costs.
+    # Delay of the first request on a connection, and work that a new connection costs.
     handshake_us: int = 0
     handshake_work_us: int = 0
     connections: int = 1024
-    # Cold start: the part of its capacity at the start, and when it is warm.
-    cold_from: float = 1.0
+    # Cold start: the fraction of its capacity at the start, and the time until the server is warm.
+    cold_capacity: float = 1.0
     warm_us: int = 0
-    # Sent more than this multiple of its present capacity for so long, a cold server falls over; 0: never.
-    fall_multiple: float = 0.0
-    fall_us: int = SECOND
-    # Choking: so many more than cores in hand for so long make it slower by this factor, until it has been
-    # nearly idle for the rest, or for the most; 0: never.
-    choke_over: int = 0
-    choke_us: int = 2 * SECOND
-    choke_slower: float = 3.0
-    choke_rest_us: int = 2 * SECOND
-    choke_most_us: int = 20 * SECOND
-    # Every so many requests one fails with 500 after its work; 0: none.
+    # A cold server collapses when the work sent to it within the window exceeds this multiple of its present
+    # capacity; 0: never.
+    collapse_multiple: float = 0.0
+    collapse_window_us: int = SECOND
+    # Degradation: with `overload_jobs` more requests in flight than cores for `overload_us` the server is
+    # slower by the factor, until it has been nearly idle for `recovery_us`, or for `max_degraded_us` in any
+    # case; 0: never.
+    overload_jobs: int = 0
+    overload_us: int = 2 * SECOND
+    degraded_factor: float = 3.0
+    recovery_us: int = 2 * SECOND
+    max_degraded_us: int = 20 * SECOND
+    # One request in so many fails with 500 after its work; 0: none.
     error_every: int = 0
-    # Whether work that runs stops when its sender calls it off.
+    # Whether running work stops when its sender cancels it.
     stops_running: bool = True
-    # How often the figures of load reports are made anew; 0: with each answer.
+    # Time between two updates of the figures in load reports; 0: each answer has fresh figures.
     report_every_us: int = 0
     probe_work_us: int = 0
 
 
 class ModelHost(Protocol):
-    """What a server may do to the world outside."""
+    """The actions of a server model on its environment."""
 
-    def ended(self, request: int, verdict: Verdict, ran: bool) -> None:
-        """A request has its answer, or is declined; `ran`: its work was begun here."""
+    def ended(self, request: int, outcome: RequestOutcome, ran: bool) -> None:
+        """Answer or decline a request; `ran`: the server began its work."""
 
-    def call_next(self, request: int, calls: int) -> None:
-        """The request now needs so many calls to the next tier; `next_ended` is told when they are done."""
+    def call_next_tier(self, request: int, calls: int) -> None:
+        """Make so many calls to the next tier for a request, then call `next_tier_ended`."""
 
-    def wake(self, at_us: int) -> None:
-        """Have `alarm` called at this time; only the latest wish counts."""
+    def set_timer(self, at_us: int) -> None:
+        """Call `timer_expired` at this time; a later call replaces the time."""
 
-    def fell(self) -> None:
-        """It was pushed over while cold."""
+    def collapsed(self) -> None:
+        """The server has collapsed under load while cold."""
 
 
 @dataclass(slots=True)
 class Job:
-    """One request in hand."""
+    """One request that the server holds."""
 
     request: int
-    left_us: float
+    remaining_us: float
     calls: int = 0
-    mark: str | None = None
-    # What becomes of it when its work is done.
-    verdict: Verdict = Verdict.SERVED
-    until_us: int = 0
+    idempotency_key: str | None = None
+    # The outcome when the work is done.
+    outcome: RequestOutcome = RequestOutcome.SERVED
+    # When the deadline ends; 0: none was sent.
+    deadline_us: int = 0
     arrived_us: int = 0
     started_us: int = -1
-    # Work is done and the fixed delay runs until then; -1: still at work.
-    due_us: int = -1
-    waits_next: bool = False
+    # When the answer leaves, once the work is done and the fixed delay runs; -1: still working.
+    answer_at_us: int = -1
+    awaits_next_tier: bool = False
 
     @property
     def ran(self) -> bool:
-        """Whether its work was begun; a repeat has none."""
-        return self.started_us >= 0 and self.verdict is not Verdict.REPEATED
+        """Whether the work was begun; a repeated request has none."""
+        return self.started_us >= 0 and self.outcome is not RequestOutcome.REPEATED
 
 
 @dataclass(slots=True)
 class Group:
-    """Servers that share something: a limit of their work together, and the marks they have seen."""
+    """Servers that share a limit of their joint work, and the idempotency keys that they have seen."""
 
     # In cores of speed 1; 0: no limit.
     limit: float = 0.0
     window_us: int = 0
     members: list[ServerModel] = field(default_factory=list)
-    # When each mark was first taken, oldest first.
-    marks: dict[str, int] = field(default_factory=dict)
-
-    def seen(self, mark: str, now: int) -> bool:
-        """Whether this mark is a repeat within the window; one that is not is remembered."""
-        while self.marks:
-            oldest = next(iter(self.marks))
-            if self.marks[oldest] + self.window_us > now:
+    # The time at which each key was first accepted, oldest first.
+    key_times: dict[str, int] = field(default_factory=dict)
+
+    def is_repeat(self, key: str, now: int) -> bool:
+        """Return whether the group has seen this key within the window; a new key is recorded."""
+        while self.key_times:
+            oldest = next(iter(self.key_times))
+            if self.key_times[oldest] + self.window_us > now:
                 break
-            del self.marks[oldest]
-        if mark in self.marks:
+            del self.key_times[oldest]
+        if key in self.key_times:
             return True
         if self.window_us:
-            self.marks[mark] = now
+            self.key_times[key] = now
         return False
 
-    def forget(self, mark: str) -> None:
-        """What it came with did not run after all."""
-        self.marks.pop(mark, None)
+    def forget(self, key: str) -> None:
+        """Remove a key whose request was not executed after all."""
+        self.key_times.pop(key, None)
 
-    def part(self) -> float:
-        """The part of its speed that each member gets now."""
+    def speed_fraction(self) -> float:
+        """Return the fraction of its speed that each member has now under the joint limit."""
         if not self.limit:
             return 1.0
-        wanted = sum(member.wanted() for member in self.members)
-        return min(1.0, self.limit / wanted) if wanted else 1.0
+        demand = sum(member.demanded_cores() for member in self.members)
+        return min(1.0, self.limit / demand) if demand else 1.0
 
 
 class ServerModel:
-    """One server's process after another: `start` is a new one."""
+    """The successive processes of one server; `start` begins a new one."""
 
-    def __init__(self, name: str, shape: Shape, host: ModelHost, group: Group | None = None) -> None:
+    def __init__(self, name: str, spec: ServerSpec, host: ModelHost, group: Group | None = None) -> None:
         self.name = name
-        self.shape = shape
+        self.spec = spec
         self.host = host
-        self.slots = shape.slots or shape.cores
+        self.slots = spec.slots or spec.cores
         self.group = group or Group()
         self.group.members.append(self)
-        # Troubles: a factor on its speed, and whether it stands still.
-        self.slower = 1.0
+        # Injected faults: a factor by which the server is slower, and whether it is frozen.
+        self.slowdown = 1.0
         self.frozen = False
         self.phase = Phase.DOWN
-        self._clear(0, warm=True)
+        self._reset(0, warm=True)
 
-    def _clear(self, now: int, warm: bool) -> None:
-        self.born_us = now
-        self.warm = warm or self.shape.cold_from >= 1.0
+    def _reset(self, now: int, warm: bool) -> None:
+        """Discard all state of the previous process."""
+        self.process_started_us = now
+        self.warm = warm or self.spec.cold_capacity >= 1.0
         self.jobs: dict[int, Job] = {}
         self.running: list[Job] = []
         self.queue: deque[Job] = deque()
         self.delayed: list[Job] = []
-        self.since_us = now
+        # The time up to which work is accounted for, and the rate of each running job since then.
+        self.advanced_us = now
         self.rate = 0.0
-        # Work sent while it is cold, within the rule's window: when, how much, its sum and that of squares.
-        self.pushed: deque[tuple[int, float]] = deque()
-        self.pushed_us = 0.0
-        self.pushed_squares = 0.0
-        self.choked_us = -1
-        self.over_since = -1
-        self.calm_since = now
+        # Work sent to the cold server within the collapse window: time and amount, the sum, and the sum of
+        # squares.
+        self.cold_work: deque[tuple[int, float]] = deque()
+        self.cold_work_us = 0.0
+        self.cold_work_squares = 0.0
+        # Start of degradation, overload and light load; -1: not so at present.
+        self.degraded_since = -1
+        self.overloaded_since = -1
+        self.unloaded_since = now
         self.connections = 0
-        self.count = 0
+        self.request_count = 0
         self.busy_us = 0.0
         self.report: dict[str, float] = {}
         self.report_at = -1
-        self.means = {"qps": 0.0, "eps": 0.0, "latency_ms": 0.0, "util": 0.0}
+        self.averages = {"qps": 0.0, "eps": 0.0, "latency_ms": 0.0, "util": 0.0}
+        # Answers, errors, unused, and the sum of latencies in microseconds since `tally_at`.
         self.tally = [0, 0, 0, 0.0]
         self.tally_at = now
 
-    # Its life.
+    # The process.
 
     def start(self, now: int, warm: bool = False) -> None:
-        """A new process; cold unless told otherwise."""
-        self._clear(now, warm)
+        """Start a new process, cold by default."""
+        self._reset(now, warm)
         self.phase = Phase.UP
-        self._again(now)
+        self._reschedule(now)
 
     def drain(self, now: int) -> None:
-        """It finishes what it has and declines what comes."""
+        """Finish the requests in hand and decline new ones."""
         if self.phase is Phase.UP:
             self.phase = Phase.DRAINING
 
     def kill(self, now: int) -> None:
-        """Its process is gone with all that it held."""
-        self._clear(now, warm=False)
+        """End the process; all requests that it holds are lost without an answer."""
+        self._reset(now, warm=False)
         self.phase = Phase.DOWN
-        self._share_out(now)
+        self._update_group_rates(now)
 
-    def set_slower(self, factor: float, now: int) -> None:
+    def set_slowdown(self, factor: float, now: int) -> None:
+        """Make the server slower by this factor from now on; 1: normal speed."""
         self._advance(now)
-        self.slower = factor
-        self._again(now)
+        self.slowdown = factor
+        self._reschedule(now)
 
     def freeze(self, now: int) -> None:
+        """Stop all work until `thaw`, as a paused process does."""
         self._advance(now)
         self.frozen = True
-        self._again(now)
+        self._reschedule(now)
 
     def thaw(self, now: int) -> None:
-        self.since_us = now
+        """Continue after `freeze`; the frozen time counts as no work."""
+        self.advanced_us = now
         self.frozen = False
-        self._again(now)
+        self._reschedule(now)
 
     # Requests.
 
     def connected(self, now: int) -> bool:
-        """A new connection; False if it holds too many already and will decline on this one."""
+        """Count a new connection; return False if it exceeds the limit, so that its requests are declined."""
         self.connections += 1
-        if self.shape.handshake_work_us and self.phase is Phase.UP:
-            self.busy_us += self.shape.handshake_work_us
+        if self.spec.handshake_work_us and self.phase is Phase.UP:
+            self.busy_us += self.spec.handshake_work_us
             for job in self.running[:1]:
-                job.left_us += self.shape.handshake_work_us
-        return self.connections <= self.shape.connections
+                job.remaining_us += self.spec.handshake_work_us
+        return self.connections <= self.spec.connections
 
     def disconnected(self, now: int) -> None:
+        """Count a closed connection."""
         self.connections = max(0, self.connections - 1)
 
-    def arrive(
-        self, request: int, work_us: float, calls: int, mark: str | None, until_us: int, now: int
+    def request_arrived(
+        self, request: int, work_us: float, calls: int, key: str | None, deadline_us: int, now: int
     ) -> None:
-        """A whole request has come; its sender waits until then (0: nobody said)."""
-        self._push(work_us, now)
+        """Accept or decline a complete request. `deadline_us` is a time; 0: the request stated none."""
+        self._count_cold_work(work_us, now)
         if self.phase is not Phase.UP or (
-            len(self.running) >= self.slots and len(self.queue) >= self.shape.queue
+            len(self.running) >= self.slots and len(self.queue) >= self.spec.queue
         ):
-            self.host.ended(request, Verdict.DECLINED, False)
+            self.host.ended(request, RequestOutcome.DECLINED, False)
             return
-        job = Job(request, work_us, calls, mark, until_us=until_us, arrived_us=now)
-        if mark is not None and self.group.seen(mark, now):
-            # Found by its mark at once; nothing of it is done again.
-            job.verdict, job.mark, job.left_us, job.calls = Verdict.REPEATED, None, 0.0, 0
-        self.count += 1
-        if self.shape.error_every and self.count % self.shape.error_every == 0:
-            job.verdict = Verdict.ERROR
+        job = Job(request, work_us, calls, key, deadline_us=deadline_us, arrived_us=now)
+        if key is not None and self.group.is_repeat(key, now):
+            # The key identifies the repeat at once; none of the work is done again.
+            job.outcome, job.idempotency_key, job.remaining_us, job.calls = (
+                RequestOutcome.REPEATED,
+                None,
+                0.0,
+                0,
+            )
+        self.request_count += 1
+        if self.spec.error_every and self.request_count % self.spec.error_every == 0:
+            job.outcome = RequestOutcome.ERROR
         self.jobs[request] = job
         self.queue.append(job)
         self._advance(now)
-        self._again(now)
+        self._reschedule(now)
 
-    def call_off(self, request: int, now: int) -> None:
-        """Its sender has gone: what waits is dropped, what runs stops if this server can stop it."""
+    def cancel(self, request: int, now: int) -> None:
+        """Cancel a request whose sender has gone; running work stops only if the server can stop it."""
         job = self.jobs.get(request)
         if job is None:
             return
         if job.started_us < 0:
             self.queue.remove(job)
-            self._drop(job)
-        elif not self.shape.stops_running:
+            self._forget_key(job)
+        elif not self.spec.stops_running:
             return
         elif job in self.running:
             self._advance(now)
@@ -286,226 +305,235 @@
         elif job in self.delayed:
             self.delayed.remove(job)
         if self.jobs.pop(request, None) is not None:
-            self.host.ended(request, Verdict.CALLED_OFF, job.ran)
-        self._again(now)
+            self.host.ended(request, RequestOutcome.CANCELLED, job.ran)
+        self._reschedule(now)
 
-    def _drop(self, job: Job) -> None:
-        """Nothing of it was done: its mark is no repeat's."""
-        if job.mark is not None and job.verdict is not Verdict.REPEATED:
-            self.group.forget(job.mark)
+    def _forget_key(self, job: Job) -> None:
+        """Forget the key of a job that was not started, so that a later request with the key is executed."""
+        if job.idempotency_key is not None and job.outcome is not RequestOutcome.REPEATED:
+            self.group.forget(job.idempotency_key)
 
-    def next_ended(self, request: int, well: bool, now: int) -> None:
-        """The calls to the next tier that `call_next` asked for are done; it fails if one did."""
+    def next_tier_ended(self, request: int, succeeded: bool, now: int) -> None:
+        """Continue a request whose calls to the next tier have ended; it fails if one of the calls did."""
         job = self.jobs.get(request)
-        if job is None or not job.waits_next:
+        if job is None or not job.awaits_next_tier:
             return
         self._advance(now)
-        job.waits_next = False
+        job.awaits_next_tier = False
         job.calls = 0
-        if not well:
-            job.verdict = Verdict.ERROR
-        self._worked(job, now)
-        self._again(now)
+        if not succeeded:
+            job.outcome = RequestOutcome.ERROR
+        self._work_done(job, now)
+        self._reschedule(now)
 
-    def alarm(self, now: int) -> None:
-        """A time asked for with `wake` has come."""
+    def timer_expired(self, now: int) -> None:
+        """Update the model at a time that was set with `set_timer`."""
         self._advance(now)
-        self._again(now)
+        self._reschedule(now)
 
-    # What it can do now.
+    # Present capacity.
 
-    def warmth(self, now: int) -> float:
-        """The part of its capacity that it has."""
-        if self.warm or not self.shape.warm_us:
+    def warm_fraction(self, now: int) -> float:
+        """Return the fraction of its capacity that the server has by its warm-up."""
+        if self.warm or not self.spec.warm_us:
             return 1.0
-        grown = (now - self.born_us) / self.shape.warm_us
-        if grown >= 1.0:
+        progress = (now - self.process_started_us) / self.spec.warm_us
+        if progress >= 1.0:
             self.warm = True
             return 1.0
-        return self.shape.cold_from + (1.0 - self.shape.cold_from) * grown
+        return self.spec.cold_capacity + (1.0 - self.spec.cold_capacity) * progress
 
     def speed(self, now: int) -> float:
-        """Of one core, all its troubles counted in."""
+        """Return the speed of one core, with warm-up, degradation and injected faults counted in."""
         if self.frozen:
             return 0.0
-        choked = self.shape.choke_slower if self.choked_us >= 0 else 1.0
-        return self.shape.speed * self.warmth(now) / (self.slower * choked)
+        degradation = self.spec.degraded_factor if self.degraded_since >= 0 else 1.0
+        return self.spec.speed * self.warm_fraction(now) / (self.slowdown * degradation)
 
-    def wanted(self) -> float:
-        """Cores of speed 1 that its running work would use."""
-        busy = sum(not job.waits_next for job in self.running)
-        return min(busy, self.shape.cores) * self.shape.speed
+    def demanded_cores(self) -> float:
+        """Return how many cores of speed 1 the running work could use."""
+        busy = sum(not job.awaits_next_tier for job in self.running)
+        return min(busy, self.spec.cores) * self.spec.speed
 
     def load_report(self, now: int) -> dict[str, float]:
-        """Its figures as it last made them."""
-        if not self.report or now - self.report_at >= self.shape.report_every_us:
-            self._tell_means(now)
-            held = len(self.jobs)
-            self.report = {"inflight": held, "queue": len(self.queue), **self.means}
+        """Return the figures of the last load report, updated if they are older than `report_every_us`."""
+        if not self.report or now - self.report_at >= self.spec.report_every_us:
+            self._update_averages(now)
+            in_flight = len(self.jobs)
+            self.report = {"inflight": in_flight, "queue": len(self.queue), **self.averages}
             self.report_at = now
         return self.report
 
-    def _tell_means(self, now: int) -> None:
-        span = now - self.tally_at
-        if span < SECOND // 20:
+    def _update_averages(self, now: int) -> None:
+        """Fold the answers since the last update into the averages, at most once in 50 ms."""
+        elapsed = now - self.tally_at
+        if elapsed < SECOND // 20:
             return
         answers, errors, _, latency = self.tally
-        keeps = REPORT_KEEPS ** (span / SECOND)
-        seconds = span / SECOND
-        told = {
+        decay = REPORT_DECAY ** (elapsed / SECOND)
+        seconds = elapsed / SECOND
+        latest = {
             "qps": answers / seconds,
             "eps": errors / seconds,
-            "latency_ms": latency / answers / 1000 if answers else self.means["latency_ms"],
-            "util": min(1.0, self.busy_us / span / self.shape.cores),
+            "latency_ms": latency / answers / 1000 if answers else self.averages["latency_ms"],
+            "util": min(1.0, self.busy_us / elapsed / self.spec.cores),
         }
-        for name, value in told.items():
-            self.means[name] += (1 - keeps) * (value - self.means[name])
+        for name, value in latest.items():
+            self.averages[name] += (1 - decay) * (value - self.averages[name])
         self.busy_us = 0.0
         self.tally = [0, 0, 0, 0.0]
         self.tally_at = now
 
-    # The rules it keeps on its own.
+    # Collapse and degradation.
 
-    def _push(self, work_us: float, now: int) -> None:
-        """Count work sent to a cold server, also what it declines, over the rule's window.
+    def _count_cold_work(self, work_us: float, now: int) -> None:
+        """Count work sent to a cold server within the window, declined work too; the server may collapse.
 
-        Three standard deviations of what chance alone brings are forgiven: arrivals are not even.
+        Three standard deviations of random variation are allowed, since arrivals are not evenly spaced.
         """
-        if not self.shape.fall_multiple or self.phase not in (Phase.UP, Phase.DRAINING):
+        if not self.spec.collapse_multiple or self.phase not in (Phase.UP, Phase.DRAINING):
             return
-        warmth = self.warmth(now)
-        if warmth >= 1.0:
+        warm_fraction = self.warm_fraction(now)
+        if warm_fraction >= 1.0:
             return
-        pushed = self.pushed
-        pushed.append((now, work_us))
-        self.pushed_us += work_us
-        self.pushed_squares += work_us * work_us
-        while pushed[0][0] <= now - self.shape.fall_us:
-            _, old = pushed.popleft()
-            self.pushed_us -= old
-            self.pushed_squares -= old * old
-        bearable = self.shape.fall_multiple * warmth * self.shape.cores * self.shape.speed
-        chance = 3 * max(0.0, self.pushed_squares) ** 0.5
-        if self.pushed_us > bearable * self.shape.fall_us + chance:
-            self._fall(now)
-
-    def _fall(self, now: int) -> None:
-        self.phase = Phase.FALLEN
-        held = list(self.jobs.values())
+        cold_work = self.cold_work
+        cold_work.append((now, work_us))
+        self.cold_work_us += work_us
+        self.cold_work_squares += work_us * work_us
+        while cold_work[0][0] <= now - self.spec.collapse_window_us:
+            _, expired = cold_work.popleft()
+            self.cold_work_us -= expired
+            self.cold_work_squares -= expired * expired
+        limit = self.spec.collapse_multiple * warm_fraction * self.spec.cores * self.spec.speed
+        allowance = 3 * max(0.0, self.cold_work_squares) ** 0.5
+        if self.cold_work_us > limit * self.spec.collapse_window_us + allowance:
+            self._collapse(now)
+
+    def _collapse(self, now: int) -> None:
+        """Fail all requests in hand, and decline new ones until the server is restarted."""
+        self.phase = Phase.COLLAPSED
+        failed = list(self.jobs.values())
         self.jobs.clear()
         self.running.clear()
         self.queue.clear()
         self.delayed.clear()
-        self.host.fell()
-        for job in held:
-            self.host.ended(job.request, Verdict.ERROR, job.ran)
-
-    def _watch_choke(self, now: int) -> None:
-        shape = self.shape
-        if not shape.choke_over:
+        self.host.collapsed()
+        for job in failed:
+            self.host.ended(job.request, RequestOutcome.ERROR, job.ran)
+
+    def _update_degradation(self, now: int) -> None:
+        """Begin degradation after lasting overload, and end it after `recovery_us` or `max_degraded_us`."""
+        spec = self.spec
+        if not spec.overload_jobs:
             return
-        held = len(self.running) + len(self.queue)
-        if held <= shape.cores + shape.choke_over:
-            self.over_since = -1
-        elif self.over_since < 0:
-            self.over_since = now
-        if held > max(1, shape.cores // 2):
-            self.calm_since = -1
-        elif self.calm_since < 0:
-            self.calm_since = now
-        if self.choked_us < 0:
-            if 0 <= self.over_since <= now - shape.choke_us:
-                self.choked_us = now
-        elif 0 <= self.calm_since <= now - shape.choke_rest_us or now - self.choked_us >= shape.choke_most_us:
-            self.choked_us = self.over_since = -1
+        in_flight = len(self.running) + len(self.queue)
+        if in_flight <= spec.cores + spec.overload_jobs:
+            self.overloaded_since = -1
+        elif self.overloaded_since < 0:
+            self.overloaded_since = now
+        if in_flight > max(1, spec.cores // 2):
+            self.unloaded_since = -1
+        elif self.unloaded_since < 0:
+            self.unloaded_since = now
+        if self.degraded_since < 0:
+            if 0 <= self.overloaded_since <= now - spec.overload_us:
+                self.degraded_since = now
+        elif (
+            0 <= self.unloaded_since <= now - spec.recovery_us
+            or now - self.degraded_since >= spec.max_degraded_us
+        ):
+            self.degraded_since = self.overloaded_since = -1
 
     # Work.
 
     def _advance(self, now: int) -> None:
-        """Do the work of the time gone by, and answer what is done."""
-        span = now - self.since_us
-        self.since_us = now
+        """Account for the work since the last call, and answer the requests that are done."""
+        elapsed = now - self.advanced_us
+        self.advanced_us = now
         done = []
-        if span > 0 and self.rate > 0:
-            busy = sum(not job.waits_next for job in self.running)
-            self.busy_us += span * min(busy, self.shape.cores)
+        if elapsed > 0 and self.rate > 0:
+            busy = sum(not job.awaits_next_tier for job in self.running)
+            self.busy_us += elapsed * min(busy, self.spec.cores)
             for job in self.running:
-                if not job.waits_next:
-                    job.left_us -= span * self.rate
+                if not job.awaits_next_tier:
+                    job.remaining_us -= elapsed * self.rate
         for job in self.running:
-            # Half a microsecond of work is rounding.
-            if not job.waits_next and job.left_us <= 0.5:
+            # Half a microsecond of remaining work is a rounding error.
+            if not job.awaits_next_tier and job.remaining_us <= 0.5:
                 done.append(job)
         for job in done:
-            self._worked(job, now)
+            self._work_done(job, now)
         if self.delayed and not self.frozen:
-            due = [job for job in self.delayed if job.due_us <= now]
-            for job in due:
+            ready = [job for job in self.delayed if job.answer_at_us <= now]
+            for job in ready:
                 self.delayed.remove(job)
-                self._end(job, now)
+                self._finish(job, now)
 
-    def _worked(self, job: Job, now: int) -> None:
+    def _work_done(self, job: Job, now: int) -> None:
+        """Continue a job whose own work is done: call the next tier, wait for the fixed delay, or answer."""
         if job.calls:
-            job.waits_next = True
-            self.host.call_next(job.request, job.calls)
+            job.awaits_next_tier = True
+            self.host.call_next_tier(job.request, job.calls)
             return
         self.running.remove(job)
-        if self.shape.delay_us:
-            job.due_us = now + self.shape.delay_us
+        if self.spec.delay_us:
+            job.answer_at_us = now + self.spec.delay_us
             self.delayed.append(job)
         else:
-            self._end(job, now)
+            self._finish(job, now)
 
-    def _end(self, job: Job, now: int) -> None:
+    def _finish(self, job: Job, now: int) -> None:
+        """Answer a request and count its latency."""
         if self.jobs.pop(job.request, None) is None:
             return
         self.tally[0] += 1
-        self.tally[1] += job.verdict is Verdict.ERROR
+        self.tally[1] += job.outcome is RequestOutcome.ERROR
         self.tally[3] += now - max(job.started_us, job.arrived_us)
-        self.host.ended(job.request, job.verdict, job.ran)
+        self.host.ended(job.request, job.outcome, job.ran)
 
-    def _again(self, now: int) -> None:
-        """Start what has room, set the rate, and say when to look again."""
-        if self.phase in (Phase.DOWN, Phase.FALLEN):
+    def _reschedule(self, now: int) -> None:
+        """Start queued requests that have a slot, update the rates, and set the next timer."""
+        if self.phase in (Phase.DOWN, Phase.COLLAPSED):
             return
         while self.queue and len(self.running) < self.slots and not self.frozen:
             job = self.queue.popleft()
-            if job.until_us and job.until_us <= now:
-                # Over already: its sender is told so, if it still listens.
-                self._drop(job)
+            if job.deadline_us and job.deadline_us <= now:
+                # The deadline has passed: the request is declined, in case its sender still listens.
+                self._forget_key(job)
                 del self.jobs[job.request]
-                self.host.ended(job.request, Verdict.DECLINED, False)
+                self.host.ended(job.request, RequestOutcome.DECLINED, False)
                 continue
             job.started_us = now
             self.running.append(job)
-            if job.left_us <= 0.5:
-                self._worked(job, now)
-        self._watch_choke(now)
-        self._share_out(now)
+            if job.remaining_us <= 0.5:
+                self._work_done(job, now)
+        self._update_degradation(now)
+        self._update_group_rates(now)
 
-    def _share_out(self, now: int) -> None:
-        """A group's limit binds all its members at once."""
+    def _update_group_rates(self, now: int) -> None:
+        """Update the rate of this server, and of all members of its group if they share a limit."""
         if not self.group.limit:
-            self._set_rate(now, 1.0)
+            self._update_rate(now, 1.0)
             return
-        part = self.group.part()
+        fraction = self.group.speed_fraction()
         for member in self.group.members:
             if member is not self:
                 member._advance(now)
-            member._set_rate(now, part)
-
-    def _set_rate(self, now: int, part: float) -> None:
-        busy = sum(not job.waits_next for job in self.running)
-        shared = min(1.0, self.shape.cores / busy) if busy else 0.0
-        self.rate = self.speed(now) * shared * part
-        at = [job.due_us for job in self.delayed]
+            member._update_rate(now, fraction)
+
+    def _update_rate(self, now: int, fraction: float) -> None:
+        """Set the rate of running jobs to this fraction of the speed, and the timer for the next change."""
+        busy = sum(not job.awaits_next_tier for job in self.running)
+        core_share = min(1.0, self.spec.cores / busy) if busy else 0.0
+        self.rate = self.speed(now) * core_share * fraction
+        times = [job.answer_at_us for job in self.delayed]
         if self.rate > 0:
-            left = [job.left_us for job in self.running if not job.waits_next]
-            if left:
-                at.append(now + max(1, int(min(left) / self.rate + 0.999)))
+            remaining = [job.remaining_us for job in self.running if not job.awaits_next_tier]
+            if remaining:
+                times.append(now + max(1, int(min(remaining) / self.rate + 0.999)))
             if not self.warm:
-                at.append(now + WARM_STEP)
-        if self.shape.choke_over and (self.jobs or self.choked_us >= 0):
-            at.append(now + SECOND // 10)
-        if at:
-            self.host.wake(min(at))
+                times.append(now + WARM_STEP)
+        if self.spec.overload_jobs and (self.jobs or self.degraded_since >= 0):
+            times.append(now + SECOND // 10)
+        if times:
+            self.host.set_timer(min(times))
