--- a/coraldeal/rig/standins.py
+++ b/coraldeal/rig/standins.py
@@ -1,8 +1,8 @@
-"""Servers on sockets round `ServerModel`, speaking the platform's protocol and keeping their own books.
+"""Stand-in servers on sockets around `ServerModel`, which speak the platform's protocol and write records.
 
-A server listens at one door for each zone of origin, so that a crossing costs its delay and is written down;
-a door is a port of the loopback address. What a trouble makes of a server is state of `StandIn`: the answers
-come out of it as the trouble says, the model goes on as it would.
+A server has one listener for each zone of origin, on a port of the loopback address, so that a connection
+between zones costs its delay and its zone is recorded. An injected fault is state of `StandIn`: it changes
+the answers and the network, while the model continues unchanged.
 """
 
 from __future__ import annotations
@@ -16,66 +16,74 @@
 from itertools import count
 from zlib import crc32
 
-from coraldeal.rig.books import AttemptRow, Book, ServerRow
 from coraldeal.rig.clock import now_us
-from coraldeal.rig.model import Group, Phase, ServerModel, Shape, Verdict
+from coraldeal.rig.model import Group, Phase, RequestOutcome, ServerModel, ServerSpec
+from coraldeal.rig.records import AttemptRecord, Records, ServerRecord
 
-HEAD_MOST = 64 * 1024
-BODY_MOST = 1 << 20
-SPOILT = ("noise", "head", "length", "huge", "cut")
-SURPLUS = ("surplus", "repeat", "informational", "report")
+# A longer request head is answered 431, and a longer body 400.
+MAX_HEAD_BYTES = 64 * 1024
+MAX_BODY_BYTES = 1 << 20
+# Faults after which an answer can't be parsed, and faults that leave it valid but add to it.
+MALFORMED_KINDS = ("noise", "head", "length", "huge", "cut")
+SURPLUS_KINDS = ("surplus", "repeat", "informational", "report")
 
-Caller = Callable[[str, int, int], "asyncio.Future[bool]"]
+# Calls the next tier: request class, number of calls, end of the deadline; whether all calls succeeded.
+NextTierCaller = Callable[[str, int, int], "asyncio.Future[bool]"]
 
 
 @dataclass(slots=True)
-class Fault:
-    """What is wrong with a server's answers or its network; all off at first."""
+class InjectedFaults:
+    """Faults of a server's answers and its network; all are off at first."""
 
+    # No answer is sent.
     silent: bool = False
+    # The network drops all bytes in both directions.
     cut: bool = False
-    # The part of answers that come spoilt or with more than belongs to them, and in what way.
-    spoil: str = ""
-    share: float = 0.0
+    # How answers are malformed, and the fraction of answers that are.
+    malformed_kind: str = ""
+    malformed_fraction: float = 0.0
     # The byte of the answer after which the connection is reset; -1: never.
     reset_at: int = -1
-    # Idle connections are closed at random between these two ages; 0: never.
-    idle_least_us: int = 0
-    idle_most_us: int = 0
+    # The idle time after which a connection is closed is drawn between these two; 0: not drawn.
+    min_idle_us: int = 0
+    max_idle_us: int = 0
 
 
-class Door(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """One connection at a server."""
 
     __slots__ = (
-        "asked", "buffer", "closing", "delay", "first_us", "fresh", "idle", "idle_until", "late", "row",
-        "server", "shed", "transport", "zone",
+        "buffer", "close_after_answer", "delay", "exceeds_limit", "first_byte_us", "idle_timer", "idle_until",
+        "is_new", "pending", "record", "request", "server", "transport", "zone",
     )  # fmt: skip
 
     def __init__(self, server: StandIn, zone: str, delay: float) -> None:
         self.server = server
         self.zone = zone
+        # Seconds, one way.
         self.delay = delay
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
-        self.first_us = 0
-        self.row: AttemptRow | None = None
-        self.asked = -1
-        self.fresh = True
-        # When it is closed if no request comes; 0: one is open.
+        self.first_byte_us = 0
+        # The record and the number of the open request; None and -1: no request is open.
+        self.record: AttemptRecord | None = None
+        self.request = -1
+        self.is_new = True
+        # When the connection is closed if no request comes; 0: a request is open.
         self.idle_until = 0.0
-        self.idle: asyncio.TimerHandle | None = None
-        self.shed = False
-        self.closing = False
-        # Bytes that came while an answer is out, frozen or not.
-        self.late = b""
+        self.idle_timer: asyncio.TimerHandle | None = None
+        # Whether the server had too many connections when this one was opened.
+        self.exceeds_limit = False
+        self.close_after_answer = False
+        # Bytes received while a request is open or the server is frozen.
+        self.pending = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.shed = not self.server.model.connected(now_us())
-        self.server.doors[self] = None
-        self._rest()
+        self.exceeds_limit = not self.server.model.connected(now_us())
+        self.server.connections[self] = None
+        self._start_idle()
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self.delay:
@@ -84,232 +92,248 @@
             self._lost()
 
     def eof_received(self) -> bool:
-        # The platform's page: ending the sending gives the attempt up.
+        # By the platform's protocol a sender that closes its side cancels the attempt.
         return False
 
     def _lost(self) -> None:
-        self._stir()
-        if self.server.doors.pop(self, self) is None:
+        """Cancel the open request, unless the network is cut and the server can't know of the end."""
+        self._stop_idle()
+        # None is the value of every registered connection; those of a killed process are not registered.
+        if self.server.connections.pop(self, self) is None:
             self.server.model.disconnected(now_us())
-        if self.row is not None and not self.server.fault.cut:
-            self.server.model.call_off(self.asked, now_us())
+        if self.record is not None and not self.server.faults.cut:
+            self.server.model.cancel(self.request, now_us())
 
     def data_received(self, data: bytes) -> None:
-        if self.server.fault.cut:
+        if self.server.faults.cut:
             return
         if self.delay:
-            self.server.loop.call_later(self.delay, self.take, data)
+            self.server.loop.call_later(self.delay, self.handle_bytes, data)
         else:
-            self.take(data)
+            self.handle_bytes(data)
 
-    def take(self, data: bytes) -> None:
-        """Bytes have arrived, the network's delay counted in."""
-        if self.server.fault.cut or self.server.model.phase is Phase.DOWN:
+    def handle_bytes(self, data: bytes) -> None:
+        """Parse bytes that have arrived after the network's delay, and start a complete request."""
+        if self.server.faults.cut or self.server.model.phase is Phase.DOWN:
             return
-        if self.server.model.frozen or self.row is not None:
-            # A sender may pipeline; the platform's nodes do not.
-            self.late += data
-            if self.server.model.frozen and not self.first_us:
-                self.first_us = now_us()
+        if self.server.model.frozen or self.record is not None:
+            # A sender may pipeline requests; the platform's nodes do not.
+            self.pending += data
+            if self.server.model.frozen and not self.first_byte_us:
+                self.first_byte_us = now_us()
             return
         if not self.buffer:
-            self.first_us = self.first_us or now_us()
+            self.first_byte_us = self.first_byte_us or now_us()
         self.buffer += data
         end = self.buffer.find(b"\r\n\r\n")
         if end < 0:
-            if len(self.buffer) > HEAD_MOST:
+            if len(self.buffer) > MAX_HEAD_BYTES:
                 self._refuse(431)
             return
         lines = self.buffer[:end].split(b"\r\n")
-        fields = {}
+        headers = {}
         for line in lines[1:]:
             key, _, value = line.partition(b":")
-            fields[key.strip().lower()] = value.strip()
-        length = int(fields.get(b"content-length", b"0") or 0)
-        if length > BODY_MOST or b"transfer-encoding" in fields:
+            headers[key.strip().lower()] = value.strip()
+        length = int(headers.get(b"content-length", b"0") or 0)
+        if length > MAX_BODY_BYTES or b"transfer-encoding" in headers:
             self._refuse(400)
             return
-        whole = end + 4 + length
-        if len(self.buffer) < whole:
+        request_end = end + 4 + length
+        if len(self.buffer) < request_end:
             return
-        self.late = self.buffer[whole:] + self.late
+        self.pending = self.buffer[request_end:] + self.pending
         self.buffer = b""
-        self._stir()
-        first, self.first_us = self.first_us, 0
+        self._stop_idle()
+        first, self.first_byte_us = self.first_byte_us, 0
         words = lines[0].split(b" ")
         path = words[1].decode("latin-1") if len(words) == 3 else "/"
         if path in ("/health", "/status/load"):
-            self._probed(path)
+            self._answer_probe(path)
             return
-        name = fields.get(b"req-id", b"").decode("latin-1")
-        if not name:
+        request_id = headers.get(b"req-id", b"").decode("latin-1")
+        if not request_id:
             self._refuse(404)
             return
-        track = path.lstrip("/").partition("/")[0].partition("?")[0]
+        request_class = path.lstrip("/").partition("/")[0].partition("?")[0]
         server = self.server
         last = now_us()
-        work = int(fields.get(b"rig-work", b"") or server.usual_work_us)
-        self.row = AttemptRow(
-            server.name, server.life, server.layer, self.zone, name,
-            fields.get(b"idempotency-key", b"").decode("latin-1"), track, first, last, work_us=work,
+        work = int(headers.get(b"rig-work", b"") or server.default_work_us)
+        self.record = AttemptRecord(
+            server.name, server.incarnation, server.layer, self.zone, request_id,
+            headers.get(b"idempotency-key", b"").decode("latin-1"), request_class, first, last, work_us=work,
         )  # fmt: skip
-        server.book.attempts.append(self.row)
-        self.asked = next(server.numbers)
-        server.open[self.asked] = self
-        if self.shed:
-            server.model.count += 1
-            server.ended(self.asked, Verdict.DECLINED, False)
+        server.records.attempts.append(self.record)
+        self.request = next(server.numbers)
+        server.open_requests[self.request] = self
+        if self.exceeds_limit:
+            server.model.request_count += 1
+            server.ended(self.request, RequestOutcome.DECLINED, False)
             return
-        handshake = server.model.shape.handshake_us
-        if self.fresh and handshake:
-            self.fresh = False
-            server.loop.call_later(handshake / 1e6, self._arrive, self.asked, work, fields)
+        handshake = server.model.spec.handshake_us
+        if self.is_new and handshake:
+            self.is_new = False
+            server.loop.call_later(handshake / 1e6, self._pass_to_model, self.request, work, headers)
             return
-        self._arrive(self.asked, work, fields)
+        self._pass_to_model(self.request, work, headers)
 
-    def _arrive(self, asked: int, work: int, fields: dict[bytes, bytes]) -> None:
-        if self.asked != asked or self.row is None:
+    def _pass_to_model(self, request: int, work: int, headers: dict[bytes, bytes]) -> None:
+        """Hand the request to the model, unless it has ended during the handshake's delay."""
+        if self.request != request or self.record is None:
             return
-        calls = int(fields.get(b"rig-calls", b"0") or 0) if self.server.call is not None else 0
-        scaled = work * self.server.work_part
-        left = _deadline_us(fields.get(b"req-deadline", b""))
-        until = self.row.last_us + left if left else 0
-        self.server.deadlines[asked] = until
-        self.server.model.arrive(asked, scaled, calls, self.row.mark or None, until, now_us())
-
-    def answer(self, verdict: Verdict) -> None:
-        """The answer to the request in hand goes out, as the troubles of the day leave it."""
-        row, self.row, self.asked = self.row, None, -1
-        assert row is not None
-        row.end_us = now_us()
-        row.how = verdict.value
+        calls = int(headers.get(b"rig-calls", b"0") or 0) if self.server.call is not None else 0
+        scaled_work = work * self.server.work_fraction
+        time_left = _parse_deadline_us(headers.get(b"req-deadline", b""))
+        deadline = self.record.last_us + time_left if time_left else 0
+        self.server.deadlines[request] = deadline
+        self.server.model.request_arrived(
+            request, scaled_work, calls, self.record.idempotency_key or None, deadline, now_us()
+        )
+
+    def answer(self, outcome: RequestOutcome) -> None:
+        """Answer the open request, as the injected faults leave the answer."""
+        record, self.record, self.request = self.record, None, -1
+        assert record is not None
+        record.end_us = now_us()
+        record.result = outcome.value
         server = self.server
-        fault = server.fault
-        if fault.silent:
-            row.how = "silent"
-            # Bytes of another request on this connection are not to be expected.
+        faults = server.faults
+        if faults.silent:
+            record.result = "silent"
+            # No further request is expected on a connection without its answer.
             return
-        report = _report(server.model.load_report(row.end_us), server.fields)
-        if verdict in (Verdict.SERVED, Verdict.REPEATED):
-            body = f"{row.id} {row.server} {row.life}".encode()
+        report = _encode_report(server.model.load_report(record.end_us), server.report_fields)
+        if outcome in (RequestOutcome.SERVED, RequestOutcome.REPEATED):
+            body = f"{record.id} {record.server} {record.incarnation}".encode()
             head = b"HTTP/1.1 200 OK\r\n"
-        elif verdict is Verdict.DECLINED:
+        elif outcome is RequestOutcome.DECLINED:
             body, head = b"", b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\n"
         else:
             body, head = b"", b"HTTP/1.1 500 Internal Server Error\r\n"
         data = b"%b%bContent-Length: %d\r\n\r\n%b" % (head, report, len(body), body)
-        if fault.share and verdict is Verdict.SERVED and _chance(server, row.id) < fault.share:
-            if fault.spoil in SPOILT:
-                row.how = "spoilt"
-            data = spoil(fault.spoil, data, body)
-        if 0 <= fault.reset_at < len(data):
-            row.how = "reset"
-            self.write(data[: fault.reset_at])
-            self._later(self._abort)
+        if (
+            faults.malformed_fraction
+            and outcome is RequestOutcome.SERVED
+            and _draw(server, record.id) < faults.malformed_fraction
+        ):
+            if faults.malformed_kind in MALFORMED_KINDS:
+                record.result = "spoilt"
+            data = malform(faults.malformed_kind, data, body)
+        if 0 <= faults.reset_at < len(data):
+            record.result = "reset"
+            self.write(data[: faults.reset_at])
+            self._delayed(self._abort)
             return
         self.write(data)
-        if server.model.phase is Phase.DRAINING and self.closing:
-            self._later(self._close)
+        if server.model.phase is Phase.DRAINING and self.close_after_answer:
+            self._delayed(self._close)
             return
-        self._rest()
-        if self.late:
-            data, self.late = self.late, b""
-            self.take(data)
+        self._start_idle()
+        if self.pending:
+            data, self.pending = self.pending, b""
+            self.handle_bytes(data)
 
     def write(self, data: bytes) -> None:
-        self._later(self._write, data)
+        """Write bytes after the network's delay."""
+        self._delayed(self._write, data)
 
-    def _later(self, act: Callable[..., None], *args: object) -> None:
+    def _delayed(self, action: Callable[..., None], *args: object) -> None:
         if self.delay:
-            self.server.loop.call_later(self.delay, act, *args)
+            self.server.loop.call_later(self.delay, action, *args)
         else:
-            act(*args)
+            action(*args)
 
     def _write(self, data: bytes) -> None:
-        if self.transport is not None and not self.transport.is_closing() and not self.server.fault.cut:
+        if self.transport is not None and not self.transport.is_closing() and not self.server.faults.cut:
             self.transport.write(data)
 
     def _close(self) -> None:
-        if self.transport is not None and not self.server.fault.cut:
+        if self.transport is not None and not self.server.faults.cut:
             self.transport.close()
 
     def _abort(self) -> None:
+        """Reset the connection."""
         if self.transport is not None:
-            # Linger of nothing: the peer sees a reset, as from a process that has died.
+            # With a linger time of 0 the peer receives a reset, as from a process that has died.
             sock = self.transport.get_extra_info("socket")
             with contextlib.suppress(OSError):
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             self.transport.abort()
 
     def _refuse(self, status: int) -> None:
+        """Answer a request that is not accepted with an error status, and close the connection."""
         self.write(b"HTTP/1.1 %d No\r\nContent-Length: 0\r\nConnection: close\r\n\r\n" % status)
-        self._later(self._close)
+        self._delayed(self._close)
 
-    def _probed(self, path: str) -> None:
+    def _answer_probe(self, path: str) -> None:
         server = self.server
         if not server.probes:
             self.write(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
-        elif not server.fault.silent:
-            server.model.busy_us += server.model.shape.probe_work_us
+        elif not server.faults.silent:
+            server.model.busy_us += server.model.spec.probe_work_us
             text = b""
-            if path == "/status/load" and server.fields:
-                text = _report(server.model.load_report(now_us()), server.fields)[10:-2]
+            if path == "/status/load" and server.report_fields:
+                text = _encode_report(server.model.load_report(now_us()), server.report_fields)[10:-2]
             self.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
-        self._rest()
+        self._start_idle()
 
-    def _rest(self) -> None:
-        """No request is open: the server closes the connection when it has been so for long."""
-        fault = self.server.fault
+    def _start_idle(self) -> None:
+        """Start the idle time of a connection with no open request; the server closes it at the end."""
+        faults = self.server.faults
         wait = self.server.idle_us
-        if fault.idle_most_us:
+        if faults.max_idle_us:
             self.server.draws += 1
-            chance = _chance(self.server, str(self.server.draws))
-            spread = fault.idle_least_us + int(chance * (fault.idle_most_us - fault.idle_least_us))
-            wait = min(wait, spread) if wait else spread
+            draw = _draw(self.server, str(self.server.draws))
+            drawn_wait = faults.min_idle_us + int(draw * (faults.max_idle_us - faults.min_idle_us))
+            wait = min(wait, drawn_wait) if wait else drawn_wait
         self.idle_until = self.server.loop.time() + wait / 1e6 if wait else 0.0
-        if wait and (self.idle is None or self.idle.when() > self.idle_until):
-            self._watch_idle()
+        if wait and (self.idle_timer is None or self.idle_timer.when() > self.idle_until):
+            self._set_idle_timer()
 
-    def _stir(self) -> None:
-        """A request is open, or the connection has gone: the timer finds nothing to do."""
+    def _stop_idle(self) -> None:
+        """End the idle time when a request is open or the connection has closed."""
         self.idle_until = 0.0
 
-    def _watch_idle(self) -> None:
-        """One timer a connection, set anew when it comes: one for each request cost more than the request."""
-        if self.idle is not None:
-            self.idle.cancel()
-        self.idle = self.server.loop.call_at(self.idle_until, self._idle_over)
+    def _set_idle_timer(self) -> None:
+        """Set the connection's only idle timer, which is set again when it expires.
 
-    def _idle_over(self) -> None:
-        self.idle = None
+        A timer for each request cost more than the request.
+        """
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.idle_timer = self.server.loop.call_at(self.idle_until, self._idle_timer_expired)
+
+    def _idle_timer_expired(self) -> None:
+        self.idle_timer = None
         if self.idle_until > self.server.loop.time():
-            self._watch_idle()
+            self._set_idle_timer()
         elif self.idle_until:
             self._close()
 
 
-def _chance(server: StandIn, name: str) -> float:
-    """From 0 to 1, the same for the same seed, server and name."""
+def _draw(server: StandIn, name: str) -> float:
+    """Return a number from 0 to 1 that is the same for the same seed, server and name."""
     return crc32(f"{server.seed} {server.name} {name}".encode()) / 2**32
 
 
-def _deadline_us(text: bytes) -> int:
-    """What is left of the time; 0 where nothing readable is said."""
+def _parse_deadline_us(text: bytes) -> int:
+    """Return the time left by a deadline header such as `800m` or `800000u`; 0 if it can't be parsed."""
     try:
         return int(float(text[:-1]) * {b"m": 1000, b"u": 1}[text[-1:]])
     except (ValueError, KeyError):
         return 0
 
 
-def _report(figures: dict[str, float], fields: list[str]) -> bytes:
+def _encode_report(figures: dict[str, float], fields: list[str]) -> bytes:
+    """Return the header of a load report with these fields; empty without fields."""
     if not fields:
         return b""
     pairs = ",".join(f"{name}={figures.get(name, 0.0):.4g}" for name in fields)
     return f"Srv-Load: {pairs}\r\n".encode()
 
 
-def spoil(kind: str, data: bytes, body: bytes) -> bytes:
-    """A good answer as a bad server sends it: what can't be read, or more than belongs to it."""
+def malform(kind: str, data: bytes, body: bytes) -> bytes:
+    """Return a valid answer with an injected fault: bytes that can't be parsed, or more than one answer."""
     if kind == "noise":
         return b"\x16\x03\x01\x7f not http \x00\xff" * 4 + b"\r\n\r\n"
     if kind == "head":
@@ -332,66 +356,77 @@
 
 
 class StandIn:
-    """One server: a model, its doors and what is wrong with it. Its own `ModelHost`."""
+    """One stand-in server: a model, its listeners and connections, and its injected faults.
+
+    It is the `ModelHost` of its model.
+    """
 
     def __init__(
         self,
         name: str,
         layer: int,
         zone: str,
-        shape: Shape,
+        spec: ServerSpec,
         group: Group,
-        book: Book,
+        records: Records,
         seed: int,
         *,
         fields: list[str],
         probes: bool,
         idle_us: int,
-        work_part: float = 1.0,
-        call: Caller | None = None,
+        work_fraction: float = 1.0,
+        call: NextTierCaller | None = None,
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.name = name
         self.layer = layer
         self.zone = zone
-        self.model = ServerModel(name, shape, self, group)
-        self.book = book
+        self.model = ServerModel(name, spec, self, group)
+        self.records = records
         self.seed = seed
-        self.fields = fields
+        # Figures of a load report.
+        self.report_fields = fields
         self.probes = probes
         self.idle_us = idle_us
-        self.work_part = work_part
-        # Work of a request that tells none, as from a caller by hand.
-        self.usual_work_us = 0
+        self.work_fraction = work_fraction
+        # Work of a request that states none, as one sent by hand.
+        self.default_work_us = 0
         self.call = call
-        self.life = -1
-        self.fault = Fault()
+        self.incarnation = -1
+        self.faults = InjectedFaults()
         self.draws = 0
         self.numbers = count()
-        self.open: dict[int, Door] = {}
+        self.open_requests: dict[int, ServerConnection] = {}
+        # End of the deadline of each open request; 0: none was sent.
         self.deadlines: dict[int, int] = {}
-        self.doors: dict[Door, None] = {}
+        self.connections: dict[ServerConnection, None] = {}
+        # By zone of origin: the delay in seconds, the port and the listener.
         self.delays: dict[str, float] = {}
         self.ports: dict[str, int] = {}
         self.listeners: dict[str, asyncio.Server] = {}
-        self.plugs: list[socket.socket] = []
+        # Sockets that keep the accept queue full while the network is cut.
+        self.queue_fillers: list[socket.socket] = []
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = 0
 
-    # Its process.
+    # The process.
 
     async def start(self, delays: dict[str, float], warm: bool = True) -> None:
-        """A new process; its doors keep their ports from the first start on. Delays are seconds, one way."""
-        self.life += 1
+        """Start a new process without faults. Ports stay the same after the first start.
+
+        `delays` gives the one-way delay in seconds from each zone of origin. Raises OSError if a port is
+        taken.
+        """
+        self.incarnation += 1
         self.delays = delays
-        self.fault = Fault()
-        self.model.slower, self.model.frozen = 1.0, False
+        self.faults = InjectedFaults()
+        self.model.slowdown, self.model.frozen = 1.0, False
         self.model.start(now_us(), warm)
-        await self.open_doors()
-        self._note("up")
+        await self.open_listeners()
+        self._record("up")
 
-    async def open_doors(self) -> None:
-        """Take connections, one door for each zone of origin."""
+    async def open_listeners(self) -> None:
+        """Accept connections on one listener for each zone of origin; raises OSError if a port is taken."""
         for zone, delay in self.delays.items():
             if zone in self.listeners:
                 continue
@@ -399,124 +434,136 @@
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listening.bind(("127.0.0.1", self.ports.get(zone, 0)))
             self.ports[zone] = listening.getsockname()[1]
-            door = partial(Door, self, zone, delay)
-            self.listeners[zone] = await self.loop.create_server(door, sock=listening, backlog=256)
+            connection = partial(ServerConnection, self, zone, delay)
+            self.listeners[zone] = await self.loop.create_server(connection, sock=listening, backlog=256)
 
-    def close_doors(self) -> None:
-        """Refuse new connections; those that are open stay."""
+    def close_listeners(self) -> None:
+        """Refuse new connections; open ones stay."""
         for listener in self.listeners.values():
             listener.close()
         self.listeners.clear()
 
-    def kill(self, what: str = "killed") -> None:
-        """The process dies: its connections are reset, new ones refused."""
+    def kill(self, event: str = "killed") -> None:
+        """End the process: reset its connections and refuse new ones."""
         if self.model.phase is Phase.DOWN:
             return
-        self.unplug()
-        for number, door in list(self.open.items()):
-            job = self.model.jobs.get(number)
-            if door.row is not None:
-                door.row.how, door.row.end_us = what, now_us()
-                door.row.ran = job is not None and job.ran
-                door.row = None
-        self.open.clear()
+        self.close_queue_fillers()
+        for request, connection in list(self.open_requests.items()):
+            job = self.model.jobs.get(request)
+            if connection.record is not None:
+                connection.record.result, connection.record.end_us = event, now_us()
+                connection.record.ran = job is not None and job.ran
+                connection.record = None
+        self.open_requests.clear()
         self.model.kill(now_us())
-        self._note(what)
-        self.close_doors()
-        for door in list(self.doors):
-            door._abort()
-            door._stir()
-        self.doors.clear()
+        self._record(event)
+        self.close_listeners()
+        for connection in list(self.connections):
+            connection._abort()
+            connection._stop_idle()
+        self.connections.clear()
 
     def drain(self) -> None:
+        """Finish open requests, decline new ones, and close each connection after its answer."""
         self.model.drain(now_us())
-        for door in self.doors:
-            door.closing = True
-        self._note("draining")
+        for connection in self.connections:
+            connection.close_after_answer = True
+        self._record("draining")
 
-    def _note(self, what: str) -> None:
-        self.book.servers.append(ServerRow(self.name, self.life, self.layer, now_us(), what))
+    def _record(self, event: str) -> None:
+        self.records.servers.append(ServerRecord(self.name, self.incarnation, self.layer, now_us(), event))
 
-    # Its network.
+    # The network.
 
-    def cut(self) -> None:
-        """The machine vanishes: open connections stay open and silent, new ones never come up.
+    def cut_network(self) -> None:
+        """Let the machine vanish: open connections stay open without traffic, new ones are never established.
 
-        New ones hang because the queue of those not yet accepted is full: nothing of the kernel is changed.
+        New connections hang because the accept queue of the listener is full; no setting of the kernel is
+        changed.
         """
-        self.fault.cut = True
+        self.faults.cut = True
         for listener in self.listeners.values():
             listening = listener.sockets[0].dup()
-            self.plugs.append(listening)
+            self.queue_fillers.append(listening)
             listening.listen(0)
             for _ in range(2):
-                plug = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-                plug.setblocking(False)
+                filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+                filler.setblocking(False)
                 with contextlib.suppress(BlockingIOError):
-                    plug.connect(listening.getsockname())
-                self.plugs.append(plug)
-        self.close_doors()
+                    filler.connect(listening.getsockname())
+                self.queue_fillers.append(filler)
+        self.close_listeners()
 
-    async def mend(self) -> None:
-        """Back in the network; what was open is reset."""
-        if not self.fault.cut:
+    async def restore_network(self) -> None:
+        """End `cut_network`: reset the open connections and accept new ones."""
+        if not self.faults.cut:
             return
-        self.unplug()
-        self.fault.cut = False
-        for door in list(self.doors):
-            door._abort()
-        await self.open_doors()
-
-    def unplug(self) -> None:
-        for plug in self.plugs:
-            plug.close()
-        self.plugs.clear()
+        self.close_queue_fillers()
+        self.faults.cut = False
+        for connection in list(self.connections):
+            connection._abort()
+        await self.open_listeners()
+
+    def close_queue_fillers(self) -> None:
+        """Close the sockets that keep the accept queue full."""
+        for filler in self.queue_fillers:
+            filler.close()
+        self.queue_fillers.clear()
 
     def thaw(self) -> None:
+        """Continue after a freeze, and handle the bytes that arrived meanwhile."""
         self.model.thaw(now_us())
-        for door in list(self.doors):
-            if door.late and door.row is None:
-                data, door.late = door.late, b""
-                door.take(data)
+        for connection in list(self.connections):
+            if connection.pending and connection.record is None:
+                data, connection.pending = connection.pending, b""
+                connection.handle_bytes(data)
 
     # The model's host.
 
-    def ended(self, request: int, verdict: Verdict, ran: bool) -> None:
-        door = self.open.pop(request, None)
+    def ended(self, request: int, outcome: RequestOutcome, ran: bool) -> None:
+        connection = self.open_requests.pop(request, None)
         self.deadlines.pop(request, None)
-        if door is None or door.row is None:
+        if connection is None or connection.record is None:
             return
-        door.row.ran = ran
-        if verdict is Verdict.CALLED_OFF or door.transport is None or door.transport.is_closing():
-            door.row.end_us = now_us()
-            door.row.how = verdict.value
-            door.row = None
+        connection.record.ran = ran
+        if (
+            outcome is RequestOutcome.CANCELLED
+            or connection.transport is None
+            or connection.transport.is_closing()
+        ):
+            connection.record.end_us = now_us()
+            connection.record.result = outcome.value
+            connection.record = None
             return
-        door.answer(verdict)
+        connection.answer(outcome)
 
-    def call_next(self, request: int, calls: int) -> None:
+    def call_next_tier(self, request: int, calls: int) -> None:
         assert self.call is not None
-        door = self.open.get(request)
-        track = door.row.track if door is not None and door.row is not None else ""
-        told = self.call(track, calls, self.deadlines.get(request, 0))
-        told.add_done_callback(lambda done: self._called(request, done))
-
-    def _called(self, request: int, done: asyncio.Future[bool]) -> None:
-        well = not done.cancelled() and done.exception() is None and done.result()
-        self.model.next_ended(request, well, now_us())
-
-    def wake(self, at_us: int) -> None:
+        connection = self.open_requests.get(request)
+        request_class = (
+            connection.record.request_class
+            if connection is not None and connection.record is not None
+            else ""
+        )
+        result = self.call(request_class, calls, self.deadlines.get(request, 0))
+        result.add_done_callback(lambda done: self._next_tier_ended(request, done))
+
+    def _next_tier_ended(self, request: int, done: asyncio.Future[bool]) -> None:
+        succeeded = not done.cancelled() and done.exception() is None and done.result()
+        self.model.next_tier_ended(request, succeeded, now_us())
+
+    def set_timer(self, at_us: int) -> None:
         if self.timer is not None:
             if self.timer_at == at_us and not self.timer.cancelled() and self.timer.when() > self.loop.time():
                 return
             self.timer.cancel()
         self.timer_at = at_us
-        self.timer = self.loop.call_at(at_us / 1e6, self._alarm)
+        self.timer = self.loop.call_at(at_us / 1e6, self._timer_expired)
 
-    def _alarm(self) -> None:
+    def _timer_expired(self) -> None:
         self.timer = None
         if self.model.phase in (Phase.UP, Phase.DRAINING):
-            self.model.alarm(max(now_us(), self.timer_at))
+            self.model.timer_expired(max(now_us(), self.timer_at))
 
-    def fell(self) -> None:
-        self._note("fell")
+    def collapsed(self) -> None:
+        self._record("fell")
