--- a/coraldeal/rig/baseline.py
+++ b/coraldeal/rig/baseline.py
@@ -1,8 +1,9 @@
-"""The same node program with plain decisions, to compare with, or with a planted fault, to be caught.
+"""The node program with a baseline policy, as a comparison, or with a planted fault, as a test of the rig.
 
-`python -m coraldeal.rig.baseline POLICY --config FILE` runs a node whose module is one of these. Baselines
-are not the design and keep only the rules that every policy must: no effect twice, drains kept, one answer. A
-planted fault breaks one rule on purpose: a rig that does not catch it proves nothing.
+`python -m coraldeal.rig.baseline POLICY --config FILE` runs a node whose decisions are those of a class
+below. Baselines keep only the rules that every policy must keep: nothing is executed twice, drains are
+respected, each inquiry has one answer. A planted fault breaks one rule on purpose: a rig that does not detect
+it proves nothing.
 """
 
 from __future__ import annotations
@@ -28,78 +29,91 @@
 )
 from coraldeal.net import node as node_module
 
-MARGIN = 10_000
+# Microseconds kept of the time left, so that the final answer arrives before the deadline.
+MARGIN_US = 10_000
 
 
-class _Asked:
-    """One inquiry."""
+class _InquiryState:
+    """The state of one inquiry."""
 
-    __slots__ = ("attempts", "end", "name", "out", "ran_on", "track")
+    __slots__ = ("attempts", "deadline", "name", "open_at", "ran_on", "request_class")
 
-    def __init__(self, name: InquiryId, track: Track, end: int) -> None:
+    def __init__(self, name: InquiryId, request_class: Track, deadline: int) -> None:
         self.name = name
-        self.track = track
-        self.end = end
+        self.request_class = request_class
+        # The time by which the inquiry must be answered, in microseconds of the host's clock.
+        self.deadline = deadline
         self.attempts = 0
-        self.out: ServerId | None = None
+        # The server of the open attempt.
+        self.open_at: ServerId | None = None
         # The server where an attempt may have run.
         self.ran_on: Entry | None = None
 
 
-class Plain:
-    """All inquiries are let in and sent at once; what may run again goes again, as often as allowed."""
+class RandomBalancer:
+    """The simplest policy, which chooses servers at random.
+
+    It accepts every inquiry, sends it at once, and retries what may run again as often as the settings allow.
+    Its public methods are those that the node calls on its balancer.
+    """
 
     def __init__(self, host: Host, settings: Settings, seed: int) -> None:
         self.host = host
         self.settings = settings
         self.seed = seed
         self.draws = 0
-        self.tracks = {track.name: track for track in settings.tracks}
-        self.front = settings.layer == 0
+        self.request_classes = {spec.name: spec for spec in settings.tracks}
+        self.is_first_layer = settings.layer == 0
         self.servers: dict[ServerId, Entry] = {}
         self.names: list[ServerId] = []
+        # Open attempts of each server.
         self.load: dict[ServerId, int] = {}
-        self.asked: dict[InquiryId, _Asked] = {}
+        self.inquiries: dict[InquiryId, _InquiryState] = {}
         self.turn = 0
         if settings.list_is_asked:
             host.wake("list", 1000)
 
-    def chance(self) -> float:
+    def draw(self) -> float:
+        """Return the next random number from 0 to 1; the sequence depends on the seed alone."""
         self.draws += 1
         return crc32(f"{self.seed} {self.draws}".encode()) / 2**32
 
     def choose(self, names: list[ServerId]) -> ServerId:
-        """One of those that may take the attempt."""
-        return names[int(self.chance() * len(names))]
+        """Return one of the servers that may take the attempt."""
+        return names[int(self.draw() * len(names))]
 
     def inquiry_arrived(
         self, name: InquiryId, track: str, tenant: str | None, left_us: int, repeat: bool
     ) -> None:
-        asked = self.asked[name] = _Asked(name, self.tracks[track], self.host.now + left_us - MARGIN)
-        self.go(asked)
-
-    def go(self, asked: _Asked) -> None:
-        """An attempt, or the final answer."""
-        left = asked.end - self.host.now
+        """Start the first attempt of an inquiry that has `left_us` microseconds to its deadline."""
+        inquiry = self.inquiries[name] = _InquiryState(
+            name, self.request_classes[track], self.host.now + left_us - MARGIN_US
+        )
+        self.attempt(inquiry)
+
+    def attempt(self, inquiry: _InquiryState) -> None:
+        """Send the next attempt, or the final answer if no attempt is possible."""
+        time_left = inquiry.deadline - self.host.now
         names = self.names
-        first = asked.ran_on
-        if first is not None and asked.track.effect is Effect.LABELLED:
-            names = [name for name in names if self.servers[name].cell == first.cell]
-        if left <= 0 or not names or asked.attempts >= self.settings.max_attempts:
-            self.conclude(asked)
+        ran_on = inquiry.ran_on
+        if ran_on is not None and inquiry.request_class.effect is Effect.LABELLED:
+            names = [name for name in names if self.servers[name].cell == ran_on.cell]
+        if time_left <= 0 or not names or inquiry.attempts >= self.settings.max_attempts:
+            self.answer(inquiry)
             return
-        server = asked.out = self.choose(names)
-        asked.attempts += 1
+        server = inquiry.open_at = self.choose(names)
+        inquiry.attempts += 1
         self.load[server] += 1
-        self.host.send(asked.name, server, left)
-
-    def conclude(self, asked: _Asked) -> None:
-        del self.asked[asked.name]
-        harmless = asked.ran_on is None or asked.track.effect is Effect.REDOABLE
-        if self.front and harmless:
-            self.host.defer(asked.name, 0)
+        self.host.send(inquiry.name, server, time_left)
+
+    def answer(self, inquiry: _InquiryState) -> None:
+        """Reject the inquiry if its caller may safely retry it, otherwise fail it."""
+        del self.inquiries[inquiry.name]
+        may_retry = inquiry.ran_on is None or inquiry.request_class.effect is Effect.REDOABLE
+        if self.is_first_layer and may_retry:
+            self.host.defer(inquiry.name, 0)
         else:
-            self.host.give_up(asked.name)
+            self.host.give_up(inquiry.name)
 
     def attempt_ended(
         self,
@@ -110,79 +124,86 @@
         over: bool,
         report: dict[str, float] | None,
     ) -> None:
-        asked = self.asked.get(name)
-        if asked is None or asked.out is None:
+        """Continue an inquiry whose attempt ended; `over`: the inquiry already has its final answer."""
+        inquiry = self.inquiries.get(name)
+        if inquiry is None or inquiry.open_at is None:
             return
-        server, asked.out = asked.out, None
+        server, inquiry.open_at = inquiry.open_at, None
         if server in self.load:
             self.load[server] -= 1
         if over:
-            del self.asked[name]
+            del self.inquiries[name]
             return
-        if not outcome.proved_not_run and asked.ran_on is None:
-            asked.ran_on = self.servers.get(server) or Entry(server, "", -1, Condition.GONE, 0)
-        if asked.ran_on is not None and asked.track.effect is Effect.IRREVERSIBLE:
-            self.conclude(asked)
+        if not outcome.proved_not_run and inquiry.ran_on is None:
+            inquiry.ran_on = self.servers.get(server) or Entry(server, "", -1, Condition.GONE, 0)
+        if inquiry.ran_on is not None and inquiry.request_class.effect is Effect.IRREVERSIBLE:
+            self.answer(inquiry)
         else:
-            self.go(asked)
+            self.attempt(inquiry)
 
     def may_begin(self, name: InquiryId) -> bool:
+        """Allow every attempt that was sent to begin."""
         return True
 
     def may_send(self, server: ServerId) -> bool:
+        """Return whether the server is in the list."""
         return server in self.servers
 
     def client_left(self, name: InquiryId) -> None:
-        asked = self.asked.pop(name, None)
-        if asked is not None and asked.out is not None:
-            if asked.out in self.load:
-                self.load[asked.out] -= 1
+        """Forget the inquiry, and cancel its open attempt if the settings allow it."""
+        inquiry = self.inquiries.pop(name, None)
+        if inquiry is not None and inquiry.open_at is not None:
+            if inquiry.open_at in self.load:
+                self.load[inquiry.open_at] -= 1
             if self.settings.may_withdraw:
-                self.host.withdraw(name, asked.attempts - 1)
+                self.host.withdraw(name, inquiry.attempts - 1)
 
     def alarm(self, token: str) -> None:
+        """Ask for the list again when its timer expires."""
         if token == "list":
             self.host.follow_list()
 
     def note_came(self, peer: int, note: Note) -> None:
-        """Baselines send no notes and heed none."""
+        """Ignore the message: baselines neither send nor use messages between nodes."""
 
     def list_failed(self) -> None:
+        """Ask for the list again after 0.5 s."""
         self.host.wake("list", 500_000)
 
     def servers_listed(self, kind: ListKind, entries: list[Entry]) -> None:
-        told = dict(self.servers) if kind is ListKind.CHANGES else {}
+        """Replace or change the servers in use; only those in the condition Ready are used."""
+        servers = dict(self.servers) if kind is ListKind.CHANGES else {}
         for entry in entries:
             if entry.condition is Condition.READY:
-                told[entry.server] = entry
+                servers[entry.server] = entry
             else:
-                told.pop(entry.server, None)
-        self.servers = told
-        self.names = list(told)
-        for name in told:
+                servers.pop(entry.server, None)
+        self.servers = servers
+        self.names = list(servers)
+        for name in servers:
             self.load.setdefault(name, 0)
 
 
-class RoundRobin(Plain):
-    """One after the other, from a place drawn by chance."""
+class RoundRobin(RandomBalancer):
+    """Chooses the servers in turn, from a random first one."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
         if not self.turn:
-            self.turn = int(self.chance() * 1000)
+            self.turn = int(self.draw() * 1000)
         self.turn += 1
         return names[self.turn % len(names)]
 
 
-class LeastRequests(Plain):
-    """Of two drawn by chance the one with fewer attempts out, as many proxies do."""
+class LeastRequests(RandomBalancer):
+    """Chooses, of two random servers, the one with fewer open attempts, as many proxies do."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
         first, second = super().choose(names), super().choose(names)
         return first if self.load[first] <= self.load[second] else second
 
 
-class SendsTwice(Plain):
-    """Planted fault: what must not run twice goes again after an error."""
+class SendsTwice(RandomBalancer):
+    """Planted fault: retries a request that must not run twice, after an error."""
 
     def attempt_ended(
         self,
@@ -193,37 +214,38 @@
         over: bool,
         report: dict[str, float] | None,
     ) -> None:
-        told = outcome if outcome is Outcome.SATISFIED else Outcome.CONNECT_FAILED
-        super().attempt_ended(name, number, told, latency_us, over, report)
+        # After CONNECT_FAILED every request may be retried, since the server never received it.
+        reported = outcome if outcome is Outcome.SATISFIED else Outcome.CONNECT_FAILED
+        super().attempt_ended(name, number, reported, latency_us, over, report)
 
 
-class LosesOne(Plain):
-    """Planted fault: one in twenty inquiries is forgotten, and not even the node's own guard answers it."""
+class LosesOne(RandomBalancer):
+    """Planted fault: forgets one inquiry in twenty, and the node's own time-out does not answer it either."""
 
-    def go(self, asked: _Asked) -> None:
-        if asked.attempts == 0 and self.chance() < 0.05:
-            del self.asked[asked.name]
+    def attempt(self, inquiry: _InquiryState) -> None:
+        if inquiry.attempts == 0 and self.draw() < 0.05:
+            del self.inquiries[inquiry.name]
             return
-        super().go(asked)
+        super().attempt(inquiry)
 
 
-class SendsAfterDrain(Plain):
-    """Planted fault: what the list says of drains is not heard."""
+class SendsAfterDrain(RandomBalancer):
+    """Planted fault: ignores the drains in the list."""
 
     def servers_listed(self, kind: ListKind, entries: list[Entry]) -> None:
-        kept = [entry for entry in entries if entry.condition is Condition.READY]
-        super().servers_listed(ListKind.CHANGES, kept)
+        ready = [entry for entry in entries if entry.condition is Condition.READY]
+        super().servers_listed(ListKind.CHANGES, ready)
 
 
-class FloodsCold(Plain):
-    """Planted fault: all goes to the server that has started last."""
+class FloodsCold(RandomBalancer):
+    """Planted fault: sends everything to the server that has started last."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
         return max(names, key=lambda name: (self.servers[name].born_us, name))
 
 
-POLICIES: dict[str, type[Plain]] = {
-    "random": Plain,
+POLICIES: dict[str, type[RandomBalancer]] = {
+    "random": RandomBalancer,
     "round_robin": RoundRobin,
     "least_requests": LeastRequests,
     "fault_sends_twice": SendsTwice,
@@ -234,32 +256,36 @@
 
 
 def main() -> int:
+    """Run a node with the policy named on the command line; returns the exit status."""
     if len(sys.argv) < 2 or sys.argv[1] not in POLICIES:
-        print(f"coraldeal.rig.baseline: the policies are {', '.join(POLICIES)}", file=sys.stderr)
+        print(
+            f"coraldeal.rig.baseline: the first argument must be a policy: {', '.join(POLICIES)}",
+            file=sys.stderr,
+        )
         return 2
-    chosen = POLICIES[sys.argv[1]]
-    # The node program is the product's own; only what decides is another.
-    vars(node_module)["Balancer"] = chosen
-    if chosen is LosesOne:
+    policy = POLICIES[sys.argv[1]]
+    # The node program is unchanged; only the class that decides is replaced.
+    vars(node_module)["Balancer"] = policy
+    if policy is LosesOne:
         from coraldeal.net import inquiry
 
-        # The node's own guard would answer 504: it is taken away with the fault.
-        vars(inquiry)["asyncio"] = _Unguarded()
+        # The node's own time-out would answer 504, so this fault also removes it.
+        vars(inquiry)["asyncio"] = _AsyncioWithoutTimeouts()
     return command.main(["serve", *sys.argv[2:]])
 
 
-class _Unguarded:
-    """asyncio without its time-outs, for one module."""
+class _AsyncioWithoutTimeouts:
+    """The asyncio module, with a `timeout` that never expires."""
 
     def __getattr__(self, name: str) -> Any:
         return getattr(asyncio, name)
 
-    def timeout(self, _: float) -> _NoGuard:
-        return _NoGuard()
+    def timeout(self, _: float) -> _NoTimeout:
+        return _NoTimeout()
 
 
-class _NoGuard:
-    """A time-out that never comes."""
+class _NoTimeout:
+    """A time-out that never expires."""
 
     async def __aenter__(self) -> None:
         return None
