--- a/coraldeal/rig/baseline.py
+++ b/coraldeal/rig/baseline.py
@@ -83,11 +83,11 @@
         return names[int(self.draw() * len(names))]
 
     def inquiry_arrived(
-        self, name: InquiryId, track: str, tenant: str | None, left_us: int, repeat: bool
+        self, name: InquiryId, request_class: str, tenant: str | None, time_left_us: int, repeat: bool
     ) -> None:
-        """Start the first attempt of an inquiry that has `left_us` microseconds to its deadline."""
+        """Start the first attempt of an inquiry whose deadline is `time_left_us` microseconds away."""
         inquiry = self.inquiries[name] = _InquiryState(
-            name, self.request_classes[track], self.host.now + left_us - MARGIN_US
+            name, self.request_classes[request_class], self.host.now + time_left_us - MARGIN_US
         )
         self.attempt(inquiry)
 
--- a/coraldeal/rig/callers.py
+++ b/coraldeal/rig/callers.py
@@ -488,7 +488,7 @@
     async def closed_loop(
         self, share: list[tuple[int, PlannedInquiry]], callers: int, start_us: int, until_us: int
     ) -> None:
-        """Run so many callers, each of which sends its next inquiry as soon as it has an answer."""
+        """Run a fixed number of callers, each of which sends its next inquiry as soon as it has an answer."""
         await sleep_until(start_us)
         numbers = iter(range(1 << 60))
 
--- a/coraldeal/rig/experiment.py
+++ b/coraldeal/rig/experiment.py
@@ -33,13 +33,13 @@
 class ChokeSpec(StrictStruct):
     """Degradation of a server: lasting overload makes it slower until it has been unloaded for a while."""
 
-    # Overloaded: so many requests more than cores are in flight.
+    # The server is overloaded when it holds more requests than its cores and this number.
     over: int = 8
-    # The server degrades after so many seconds of overload.
+    # Duration of the overload after which the server degrades.
     seconds: float = 2.0
     # Factor by which a degraded server is slower.
     slower: float = 3.0
-    # The server recovers after so many seconds unloaded, and at the latest after `most_seconds`.
+    # The server recovers when it has been unloaded for `rest_seconds`, or after `most_seconds` in any case.
     rest_seconds: float = 2.0
     most_seconds: float = 20.0
 
@@ -61,7 +61,7 @@
     # This tier's fraction of an inquiry's work.
     work_part: float = 1.0
     connections: int = 1024
-    # A server closes connections that are idle for so long.
+    # Time after which a server closes an idle connection.
     idle_seconds: float = 5.0
     # The idle time of each connection is drawn between these two, where the draw is shorter.
     idle_between_seconds: tuple[float, float] | None = None
@@ -82,7 +82,7 @@
     group_limit: float = 0.0
     # How long a group recognizes an idempotency key.
     window_seconds: float = 2.0
-    # One request in so many fails with 500; 0: none.
+    # Each request whose number is a multiple of this fails with 500; 0: none.
     error_every: int = 0
     # Whether running work stops when its sender cancels it.
     stops_running: bool = True
@@ -103,6 +103,7 @@
     # Nodes before the first tier, assigned to the zones in turn.
     nodes: int = 1
     tiers: list[TierSpec] = msgspec.field(default_factory=lambda: [TierSpec()])
+    # push: an agent sends the list to the nodes; ask: nodes request it.
     list_mode: Literal["push", "ask"] = "push"
     # Delay between a change of a server and its publication in the list.
     list_delay_ms: float = 300.0
@@ -168,7 +169,7 @@
 
 
 class BadSpec(StrictStruct):
-    """Misbehaving callers: so many connections a second of this kind."""
+    """Misbehaving callers of one kind, which open `per_second` connections."""
 
     kind: Literal["garbage", "slow_head", "half", "two_lengths", "huge", "no_id", "silent"]
     per_second: float = 1.0
@@ -179,13 +180,14 @@
 
     tracks: list[RequestClassSpec] = msgspec.field(default_factory=lambda: [RequestClassSpec(name="read")])
     tenants: list[TenantSpec] = []
+    # Inquiries a second.
     rate: float = 100.0
     arrivals: Literal["poisson", "constant"] = "poisson"
     shape: list[StepSpec] = []
     bursts: list[BurstSpec] = []
     # Path of a CSV with the columns `seconds` and `track` (request class), instead of the rate.
     trace: str = ""
-    # A closed loop instead of the rate: so many callers, each asking again as soon as it has an answer.
+    # Number of callers in a closed loop, instead of the rate: each asks again as soon as it has an answer.
     closed: int = 0
     # `servers`: callers bypass the nodes and send to the servers of the first tier.
     target: Literal["nodes", "servers"] = "nodes"
@@ -211,6 +213,7 @@
 class Event(StrictStruct):
     """One injected fault, or one change such as a deployment, on the timeline."""
 
+    # Seconds from the start.
     at: float
     do: Literal[
         "kill", "freeze", "slow", "silent", "cut", "refuse", "reset", "spoil", "close_idle", "drain",
--- a/coraldeal/rig/load.py
+++ b/coraldeal/rig/load.py
@@ -37,7 +37,7 @@
     # The number of the caller, which selects its zone and node.
     caller: int
     idempotency_key: str
-    # The caller leaves so long after it has sent the request, without an answer; 0: it stays.
+    # Time from the sending of the request to the caller's leaving without an answer; 0: it stays.
     leaves_after_us: int
     obeys_retry_after: bool
 
@@ -106,7 +106,7 @@
 
 
 def _draw_choices(weights: list[float], count: int, seed: int, name: str) -> NDArray[np.int64]:
-    """Draw so many indices by their weights."""
+    """Draw `count` indices of `weights`, each with a probability in proportion to its weight."""
     total = np.asarray(weights, dtype=np.float64)
     return random_stream(seed, name).choice(len(weights), size=count, p=total / total.sum())
 
--- a/coraldeal/rig/model.py
+++ b/coraldeal/rig/model.py
@@ -78,7 +78,7 @@
     degraded_factor: float = 3.0
     recovery_us: int = 2 * SECOND
     max_degraded_us: int = 20 * SECOND
-    # One request in so many fails with 500 after its work; 0: none.
+    # Each request whose number is a multiple of this fails with 500 after its work; 0: none.
     error_every: int = 0
     # Whether running work stops when its sender cancels it.
     stops_running: bool = True
@@ -94,7 +94,7 @@
         """Answer or decline a request; `ran`: the server began its work."""
 
     def call_next_tier(self, request: int, calls: int) -> None:
-        """Make so many calls to the next tier for a request, then call `next_tier_ended`."""
+        """Make this number of calls to the next tier for a request, then call `next_tier_ended`."""
 
     def set_timer(self, at_us: int) -> None:
         """Call `timer_expired` at this time; a later call replaces the time."""
--- a/coraldeal/rig/records.py
+++ b/coraldeal/rig/records.py
@@ -36,6 +36,7 @@
     is_complete: bool = False
     is_own: bool = False
     # Why there is no answer: "" or left, closed, refused, silent, unreadable, ended (the experiment ended).
+    # `again` and `resent`: the request was sent to the next node, or once more on a new connection.
     failure: str = ""
     # Whether more bytes followed the answer on the same connection, with no request open.
     has_surplus: bool = False
--- a/coraldeal/rig/rules.py
+++ b/coraldeal/rig/rules.py
@@ -24,7 +24,7 @@
 # Microseconds after a client has left within which an attempt may still begin.
 CLIENT_LEFT_SLACK_US = 100_000
 # The notification rules that the rig's lists and nodes can break. The rule for the end of a watch is left to
-# the experiments that tell watches apart.
+# the experiments that distinguish watches.
 CHECKED_RULES = (
     notification_rules.at_the_latest,
     notification_rules.after_sighup,
@@ -73,18 +73,18 @@
             self.attempts[attempt.id].append(attempt)
         # The tries of each inquiry.
         self.inquiries: dict[tuple[int, str, int], list[TryRecord]] = defaultdict(list)
-        for tried in records.tries:
-            # Servers number their own calls, so only the node tells the calls of two servers apart.
-            sender = "" if tried.layer == 0 else str(tried.node)
-            self.inquiries[tried.layer, sender, tried.inquiry].append(tried)
+        for try_record in records.tries:
+            # Servers number their own calls, so the calls of two servers differ only by their node.
+            sender = "" if try_record.layer == 0 else str(try_record.node)
+            self.inquiries[try_record.layer, sender, try_record.inquiry].append(try_record)
         self.violations: list[Violation] = []
         self.counts = dict.fromkeys(RULES, 0)
 
     def check(self) -> list[Violation]:
         """Return the violations in order of time, up to `MAX_REPORTED` for each rule."""
         for tries in self.inquiries.values():
-            for tried in tries:
-                self._check_lost(tried, tries)
+            for try_record in tries:
+                self._check_lost(try_record, tries)
             self._check_twice(tries)
         self._check_drains()
         self._check_cold()
@@ -98,42 +98,48 @@
 
     # No inquiry is lost.
 
-    def _check_lost(self, tried: TryRecord, tries: list[TryRecord]) -> None:
+    def _check_lost(self, try_record: TryRecord, tries: list[TryRecord]) -> None:
         """Check that a try has one answer of its own in time, and that nothing is sent for it afterwards."""
-        if tried.failure == "left" and tried.sent_us:
-            self._check_sent_after_leaving(tried, tries)
-        if tried.node < 0 or not tried.sent_us or tried.failure in ("left", "refused", "ended"):
+        if try_record.failure == "left" and try_record.sent_us:
+            self._check_sent_after_leaving(try_record, tries)
+        if (
+            try_record.node < 0
+            or not try_record.sent_us
+            or try_record.failure in ("left", "refused", "ended")
+        ):
             return
-        if not tried.status:
-            if not self._is_excused(tried):
-                self._add_violation("lost", f"no answer: {tried.failure}", tried.end_us, self.trace(tries))
+        if not try_record.status:
+            if not self._is_excused(try_record):
+                self._add_violation(
+                    "lost", f"no answer: {try_record.failure}", try_record.end_us, self.trace(tries)
+                )
             return
-        if tried.status == 200 and not tried.is_own:
+        if try_record.status == 200 and not try_record.is_own:
             self._add_violation(
-                "lost", "an answer that no server made for this request", tried.end_us, self.trace(tries)
+                "lost", "an answer that no server made for this request", try_record.end_us, self.trace(tries)
             )
-        if tried.has_surplus:
-            self._add_violation("lost", "more than one answer", tried.end_us, self.trace(tries))
-        if tried.end_us > tried.sent_us + tried.deadline_us + self.slack_us:
-            self._add_violation("lost", "answered after the deadline", tried.end_us, self.trace(tries))
-        for attempt in self.attempts[tried.id]:
-            if attempt.first_us > tried.end_us + self.slack_us:
+        if try_record.has_surplus:
+            self._add_violation("lost", "more than one answer", try_record.end_us, self.trace(tries))
+        if try_record.end_us > try_record.sent_us + try_record.deadline_us + self.slack_us:
+            self._add_violation("lost", "answered after the deadline", try_record.end_us, self.trace(tries))
+        for attempt in self.attempts[try_record.id]:
+            if attempt.first_us > try_record.end_us + self.slack_us:
                 self._add_violation(
                     "lost", "sent after its final answer", attempt.first_us, self.trace(tries)
                 )
                 break
 
-    def _check_sent_after_leaving(self, tried: TryRecord, tries: list[TryRecord]) -> None:
+    def _check_sent_after_leaving(self, try_record: TryRecord, tries: list[TryRecord]) -> None:
         """Check that no attempt begins long after the client has left."""
-        latest_us = tried.end_us + CLIENT_LEFT_SLACK_US + self.slack_us
-        for attempt in self.attempts[tried.id]:
-            if tried.node >= 0 and attempt.first_us > latest_us:
+        latest_us = try_record.end_us + CLIENT_LEFT_SLACK_US + self.slack_us
+        for attempt in self.attempts[try_record.id]:
+            if try_record.node >= 0 and attempt.first_us > latest_us:
                 self._add_violation(
                     "lost", "sent after its client had left", attempt.first_us, self.trace(tries)
                 )
                 break
 
-    def _is_excused(self, tried: TryRecord) -> bool:
+    def _is_excused(self, try_record: TryRecord) -> bool:
         """Return whether the node was killed before the end of the try and not ready again before its start.
 
         The caller has to repeat a request that a node held when it was killed, and one that was written to a
@@ -142,11 +148,11 @@
         """
         killed_at = None
         for event in self.node_events:
-            if (event.layer, event.node) != (tried.layer, tried.node):
+            if (event.layer, event.node) != (try_record.layer, try_record.node):
                 continue
-            if event.event == "node_kill" and event.at_us <= tried.end_us:
+            if event.event == "node_kill" and event.at_us <= try_record.end_us:
                 killed_at = event.at_us
-            elif event.event == "ready" and killed_at is not None and event.at_us < tried.sent_us:
+            elif event.event == "ready" and killed_at is not None and event.at_us < try_record.sent_us:
                 killed_at = None
         return killed_at is not None
 
@@ -160,8 +166,8 @@
         request_class = self.request_classes[tries[0].request_class]
         if request_class.effect == "redoable":
             return
-        for tried in tries:
-            ran = [attempt for attempt in self.attempts[tried.id] if attempt.ran]
+        for try_record in tries:
+            ran = [attempt for attempt in self.attempts[try_record.id] if attempt.ran]
             if len(ran) > 1:
                 servers = ", ".join(attempt.server for attempt in ran)
                 self._add_violation(
@@ -169,17 +175,17 @@
                 )
             elif (
                 ran
-                and tried.status in (429, 503)
+                and try_record.status in (429, 503)
                 and not (request_class.effect == "labelled" and request_class.group == "all")
             ):
                 self._add_violation(
                     "twice",
                     "rejected although it ran: a retry would run it again",
-                    tried.end_us,
+                    try_record.end_us,
                     self.trace(tries),
                 )
             open_until = 0
-            for attempt in self.attempts[tried.id]:
+            for attempt in self.attempts[try_record.id]:
                 if (
                     attempt.first_us < open_until
                     and attempt.end_us
@@ -207,8 +213,8 @@
         if not notifications:
             return
         grace = int(self.experiment.drain_grace_ms * 1000) + 50_000
-        node_of = {tried.id: tried.node for tried in self.records.tries}
-        tries_of = {tried.id: tries for tries in self.inquiries.values() for tried in tries}
+        node_of = {try_record.id: try_record.node for try_record in self.records.tries}
+        tries_of = {try_record.id: tries for tries in self.inquiries.values() for try_record in tries}
         for request_id, attempts in self.attempts.items():
             node = node_of.get(request_id, -1)
             if node < 0:
@@ -233,9 +239,11 @@
                     self._add_violation("drain", text, attempt.first_us, self.trace(tries_of[request_id]))
 
     def _implied_notifications(self) -> list[NotificationRecord]:
-        """Return drains that count as notified by the rules although no node received them by then."""
+        """Return drains that count as notified by the rules before the list has sent them to the node."""
         notifications = []
-        nodes = dict.fromkeys((tried.layer, tried.node) for tried in self.records.tries if tried.node >= 0)
+        nodes = dict.fromkeys(
+            (try_record.layer, try_record.node) for try_record in self.records.tries if try_record.node >= 0
+        )
         for layer, node in nodes:
             history = self._node_history(layer, node)
             outages = self._outages(layer)
@@ -279,7 +287,7 @@
 
     def _check_cold(self) -> None:
         """Find collapsed cold servers with two thirds of their work from nodes notified of their start."""
-        node_of = {tried.id: tried.node for tried in self.records.tries}
+        node_of = {try_record.id: try_record.node for try_record in self.records.tries}
         starts = {
             (row.server, row.incarnation): row.at_us for row in self.records.servers if row.event == "up"
         }
@@ -321,21 +329,25 @@
     def trace(self, tries: list[TryRecord]) -> list[str]:
         """Return the records of an inquiry and the events at its nodes, a line each, in order of time."""
         lines: list[tuple[int, str]] = []
-        for tried in tries:
-            name = f"try {tried.number} {tried.id}"
-            target = f"node {tried.node}" if tried.node >= 0 else "a server"
+        for try_record in tries:
+            name = f"try {try_record.number} {try_record.id}"
+            target = f"node {try_record.node}" if try_record.node >= 0 else "a server"
             lines.append(
                 (
-                    tried.intended_us,
-                    f"{name} {tried.request_class} scheduled, {tried.deadline_us // 1000} ms left",
+                    try_record.intended_us,
+                    f"{name} {try_record.request_class} scheduled, {try_record.deadline_us // 1000} ms left",
                 )
             )
-            if tried.sent_us:
-                lines.append((tried.sent_us, f"{name} sent to {target}"))
-            if tried.end_us:
-                end = f"answered {tried.status}" if tried.status else f"no answer: {tried.failure}"
-                lines.append((tried.end_us, f"{name} {end}"))
-            for attempt in self.attempts[tried.id]:
+            if try_record.sent_us:
+                lines.append((try_record.sent_us, f"{name} sent to {target}"))
+            if try_record.end_us:
+                end = (
+                    f"answered {try_record.status}"
+                    if try_record.status
+                    else f"no answer: {try_record.failure}"
+                )
+                lines.append((try_record.end_us, f"{name} {end}"))
+            for attempt in self.attempts[try_record.id]:
                 server = f"{attempt.server} process {attempt.incarnation}, from zone {attempt.zone}"
                 lines.append((attempt.first_us, f"  attempt reaches {server}"))
                 if attempt.end_us:
@@ -344,7 +356,7 @@
                         (attempt.end_us, f"  attempt ends at {attempt.server}: {attempt.result}, {ran}")
                     )
         for event in self.node_events:
-            if any(event.node == tried.node and event.layer == tried.layer for tried in tries):
+            if any(event.node == try_record.node and event.layer == try_record.layer for try_record in tries):
                 lines.append((event.at_us, f"node {event.node}: {event.event}"))
         lines.sort(key=lambda line: line[0])
         return [f"{self._format_time(at)} {text}" for at, text in lines]
