--- a/coraldeal/rig/child.py
+++ b/coraldeal/rig/child.py
@@ -11,24 +11,24 @@
 import msgspec
 
 from coraldeal.rig import clock
-from coraldeal.rig.books import Book, LateRow
-from coraldeal.rig.callers import LATE_US, Asking, Front, Target
+from coraldeal.rig.callers import LATE_THRESHOLD_US, CallerInquiry, CallerPool, Target
 from coraldeal.rig.clock import now_us, own_cpu_s, sleep_until
 from coraldeal.rig.experiment import Experiment, Load, TierSpec
 from coraldeal.rig.jobs import (
     Begin,
     CallersJob,
+    ChildMessage,
     Failed,
     Nodes,
-    Order,
+    ParentMessage,
     Progress,
     Ready,
     ServersJob,
     Stop,
-    Told,
 )
-from coraldeal.rig.load import Planned, make_plan
-from coraldeal.rig.model import Group, Shape
+from coraldeal.rig.load import PlannedInquiry, make_plan
+from coraldeal.rig.model import Group, ServerSpec
+from coraldeal.rig.records import LatenessRecord, Records
 from coraldeal.rig.standins import StandIn
 from coraldeal.rig.timeline import Step
 
@@ -36,18 +36,18 @@
 LOOK_EVERY = 0.05
 
 
-def tell(told: Told) -> None:
+def tell(told: ChildMessage) -> None:
     """One line to the experiment's process."""
     sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
     sys.stdout.buffer.flush()
 
 
-def shape_of(tier: TierSpec, place: int) -> Shape:
+def shape_of(tier: TierSpec, place: int) -> ServerSpec:
     """A server of this tier; speeds are dealt evenly."""
     slow, fast = tier.speed
     part = place / max(1, tier.servers - 1)
     choke = tier.choke
-    return Shape(
+    return ServerSpec(
         cores=tier.cores,
         slots=tier.slots,
         speed=slow + (fast - slow) * part,
@@ -56,15 +56,15 @@
         handshake_us=int(tier.handshake_ms * 1000),
         handshake_work_us=int(tier.handshake_work_ms * 1000),
         connections=tier.connections,
-        cold_from=tier.cold_from,
+        cold_capacity=tier.cold_from,
         warm_us=int(tier.warm_seconds * 1e6),
-        fall_multiple=tier.fall_multiple,
-        fall_us=int(tier.fall_seconds * 1e6),
-        choke_over=choke.over if choke else 0,
-        choke_us=int(choke.seconds * 1e6) if choke else 0,
-        choke_slower=choke.slower if choke else 1.0,
-        choke_rest_us=int(choke.rest_seconds * 1e6) if choke else 0,
-        choke_most_us=int(choke.most_seconds * 1e6) if choke else 0,
+        collapse_multiple=tier.fall_multiple,
+        collapse_window_us=int(tier.fall_seconds * 1e6),
+        overload_jobs=choke.over if choke else 0,
+        overload_us=int(choke.seconds * 1e6) if choke else 0,
+        degraded_factor=choke.slower if choke else 1.0,
+        recovery_us=int(choke.rest_seconds * 1e6) if choke else 0,
+        max_degraded_us=int(choke.most_seconds * 1e6) if choke else 0,
         error_every=tier.error_every,
         stops_running=tier.stops_running,
         report_every_us=int(tier.report_every_ms * 1000),
@@ -89,15 +89,15 @@
     """What both kinds of process have in common: orders in, lines out, a book at the end."""
 
     def __init__(self, process: str, book: str, orders: asyncio.StreamReader) -> None:
-        self.book = Book(process=process)
+        self.book = Records(process=process)
         self.path = Path(book)
         self.orders = orders
         self.used = 0.0
 
-    async def order(self) -> Order:
+    async def order(self) -> ParentMessage:
         """The next order; the end of the input is Stop."""
         line = await self.orders.readline()
-        return msgspec.json.decode(line, type=Order) if line.strip() else Stop()
+        return msgspec.json.decode(line, type=ParentMessage) if line.strip() else Stop()
 
     def begun(self) -> None:
         self.used = own_cpu_s()
@@ -112,8 +112,8 @@
             due += int(LOOK_EVERY * 1e6)
             await asyncio.sleep(max(0, due - now_us()) / 1e6)
             now = now_us()
-            if now - due > LATE_US:
-                self.book.late.append(LateRow(self.book.process, now, now - due))
+            if now - due > LATE_THRESHOLD_US:
+                self.book.late.append(LatenessRecord(self.book.process, now, now - due))
                 due = now
             if now - told >= PROGRESS_EVERY * 1e6:
                 told = now
@@ -136,7 +136,7 @@
         self.standins: dict[str, StandIn] = {}
         self.served: Counter[str] = Counter()
         self.counted = 0
-        self.fronts: dict[str, Front] = {}
+        self.fronts: dict[str, CallerPool] = {}
         self.tasks: list[asyncio.Task[None]] = []
 
     async def run(self) -> None:
@@ -162,7 +162,7 @@
                     fields=tier.reports,
                     probes=tier.probes,
                     idle_us=int(tier.idle_seconds * 1e6),
-                    work_part=tier.work_part,
+                    work_fraction=tier.work_part,
                     call=self._caller(name) if deeper else None,
                 )
                 await standin.start(delays_to(experiment, zone))
@@ -183,7 +183,7 @@
         self.book.write(self.path)
 
     def _idle(self, standin: StandIn, between: tuple[float, float]) -> None:
-        standin.fault.idle_least_us, standin.fault.idle_most_us = (int(s * 1e6) for s in between)
+        standin.faults.min_idle_us, standin.faults.max_idle_us = (int(s * 1e6) for s in between)
 
     def _know(self, order: Nodes) -> None:
         """Each server's way to the next tier."""
@@ -192,12 +192,12 @@
         for name, (number, port) in order.ports.items():
             if name in self.standins:
                 layer = self.standins[name].layer + 1
-                self.fronts[name] = Front(
+                self.fronts[name] = CallerPool(
                     experiment.load.tracks,
                     load,
                     [Target(number, "", port)],
                     self.book,
-                    salt=f"{layer:x}{number:03x}",
+                    id_prefix=f"{layer:x}{number:03x}",
                     layer=layer,
                     slack_us=int(experiment.slack_ms * 1000),
                 )
@@ -212,7 +212,7 @@
             kind = names.index(track) if track in names else 0
             spec = self.job.experiment.load.tracks[kind]
 
-            def next_one(asking: Asking | None, well: bool) -> None:
+            def next_one(asking: CallerInquiry | None, well: bool) -> None:
                 nonlocal calls
                 left = until_us - now_us() if until_us else int(spec.patience_ms * 1000)
                 if done.done():
@@ -224,10 +224,10 @@
                 number = next(numbers)
                 work = int(spec.work_ms * 1000)
                 mark = f"{name}-{number}"
-                planned = Planned(0, kind, -1, work, 0, 0, mark, 0, True)
+                planned = PlannedInquiry(0, kind, -1, work, 0, 0, mark, 0, True)
                 # The patience of a track counts for the first call of all; here it is what is left.
                 begun = now_us() - int(spec.patience_ms * 1000) + left
-                Asking(self.fronts[name], number, planned, begun, next_one).begin(now_us())
+                CallerInquiry(self.fronts[name], number, planned, begun, next_one).start_try(now_us())
 
             next_one(None, True)
             return done
@@ -244,7 +244,7 @@
             await self._do(standin, step)
 
     async def _do(self, standin: StandIn, step: Step) -> None:
-        fault, now = standin.fault, now_us()
+        fault, now = standin.faults, now_us()
         if step.what == "kill":
             standin.kill()
         elif step.what == "start":
@@ -255,22 +255,22 @@
         elif step.what == "thaw":
             standin.thaw()
         elif step.what == "slower":
-            standin.model.set_slower(step.by, now)
+            standin.model.set_slowdown(step.by, now)
         elif step.what in ("silent", "loud"):
             fault.silent = step.what == "silent"
         elif step.what == "cut":
-            standin.cut()
+            standin.cut_network()
         elif step.what == "mend":
-            await standin.mend()
+            await standin.restore_network()
         elif step.what == "refuse":
-            standin.close_doors()
+            standin.close_listeners()
         elif step.what == "reopen":
             if standin.model.phase.value != "down":
-                await standin.open_doors()
+                await standin.open_listeners()
         elif step.what == "reset":
             fault.reset_at = step.byte
         elif step.what == "spoil":
-            fault.spoil, fault.share = step.kind, step.by
+            fault.malformed_kind, fault.malformed_fraction = step.kind, step.by
         elif step.what == "idle":
             self._idle(standin, step.between)
         elif step.what == "drain":
@@ -284,7 +284,7 @@
         told = {}
         now = now_us()
         for name, standin in self.standins.items():
-            model, fault = standin.model, standin.fault
+            model, fault = standin.model, standin.faults
             phase = model.phase.value
             if phase == "up":
                 if fault.cut:
@@ -293,11 +293,11 @@
                     phase = "silent"
                 elif model.frozen:
                     phase = "frozen"
-                elif model.slower > 1:
+                elif model.slowdown > 1:
                     phase = "slow"
-                elif model.warmth(now) < 1:
+                elif model.warm_fraction(now) < 1:
                     phase = "cold"
-            speed = model.speed(now) / model.shape.speed
+            speed = model.speed(now) / model.spec.speed
             told[name] = (phase, len(model.jobs), self.served[name], round(speed, 2))
         return Progress(servers=told)
 
@@ -314,13 +314,13 @@
     async def run(self) -> None:
         experiment = self.job.experiment
         load: Load = experiment.load
-        part = make_plan(experiment, self.job.seed).part(self.job.number, load.processes)
-        front = Front(
+        part = make_plan(experiment, self.job.seed).share(self.job.number, load.processes)
+        front = CallerPool(
             load.tracks,
             load,
             [Target(number, zone, port) for number, zone, port in self.job.targets],
             self.book,
-            salt=f"c{self.job.number:x}",
+            id_prefix=f"c{self.job.number:x}",
             to_nodes=self.job.to_nodes,
             zones=experiment.world.zones,
             notice_us=int(experiment.world.front_notice_ms * 1000),
@@ -333,11 +333,11 @@
         self.begun()
         beside = [asyncio.create_task(self.tell_progress(lambda: self._progress(front)))]
         if self.job.to_nodes:
-            beside.append(asyncio.create_task(front.watch_ready()))
+            beside.append(asyncio.create_task(front.poll_readiness()))
         if self.job.number == 0:
-            beside.append(asyncio.create_task(front.stay_idle(load.idle)))
+            beside.append(asyncio.create_task(front.hold_idle_connections(load.idle)))
             for bad in load.bad:
-                work = front.be_bad(bad.kind, bad.per_second, order.end_us)
+                work = front.send_bad_requests(bad.kind, bad.per_second, order.end_us)
                 beside.append(asyncio.create_task(work))
         if load.closed:
             share = load.closed // load.processes + (self.job.number < load.closed % load.processes)
@@ -353,20 +353,20 @@
             # The last answers: no longer than the longest patience.
             longest = max(track.patience_ms for track in load.tracks) / 1000 + experiment.slack_ms / 1000
             until = now_us() + int((longest + 0.1) * 1e6)
-            while front.ended < front.begun and now_us() < until and not stopped.done():
+            while front.tries_ended < front.tries_started and now_us() < until and not stopped.done():
                 await asyncio.sleep(0.02)
         self.ended()
         for task in [*beside, sender]:
             task.cancel()
         for row in self.book.tries:
             if not row.end_us:
-                row.why = "ended"
+                row.failure = "ended"
         self.book.write(self.path)
         tell(Progress(counts={**self._progress(front).counts, "written": 1}))
         if not stopped.done():
             await stopped
 
-    def _progress(self, front: Front) -> Progress:
+    def _progress(self, front: CallerPool) -> Progress:
         rows = self.book.tries
         while self.seen < len(rows) and rows[self.seen].end_us:
             row = rows[self.seen]
--- a/coraldeal/rig/command.py
+++ b/coraldeal/rig/command.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from coraldeal.rig import clock
-from coraldeal.rig.claims import ClaimError
+from coraldeal.rig.assertions import InvalidAssertionError
 from coraldeal.rig.experiment import ExperimentError
 
 STATUSES = """
@@ -419,24 +419,27 @@
 
 
 async def _standins(args: argparse.Namespace) -> int:
-    from coraldeal.rig.books import Book
-    from coraldeal.rig.experiment import Experiment, Load, TierSpec, TrackSpec, Variant, World
+    from coraldeal.rig.experiment import Experiment, Load, RequestClassSpec, TierSpec, Variant, World
     from coraldeal.rig.listing import Listed, Listing
-    from coraldeal.rig.model import Group, Shape
+    from coraldeal.rig.model import Group, ServerSpec
     from coraldeal.rig.nodes import NodeProcess, Program
+    from coraldeal.rig.records import Records
     from coraldeal.rig.standins import StandIn
 
     tier = TierSpec(servers=args.servers, cores=args.cores)
-    tracks = [TrackSpec(name="read", work_ms=args.work_ms), TrackSpec(name="gift", effect="labelled")]
+    tracks = [
+        RequestClassSpec(name="read", work_ms=args.work_ms),
+        RequestClassSpec(name="gift", effect="labelled"),
+    ]
     experiment = Experiment(name="standins", world=World(tiers=[tier]), load=Load(tracks=tracks))
-    book, group = Book(), Group(0.0, 2_000_000)
+    book, group = Records(), Group(0.0, 2_000_000)
     listing = Listing(0, book, 300_000)
-    shape = Shape(cores=args.cores)
+    shape = ServerSpec(cores=args.cores)
     for number in range(args.servers):
         standin = StandIn(
             f"front-{number}", 0, "a", shape, group, book, 1, fields=[], probes=False, idle_us=5_000_000
         )
-        standin.usual_work_us = int(args.work_ms * 1000)
+        standin.default_work_us = int(args.work_ms * 1000)
         await standin.start({"a": 0.0})
         listing.add(Listed(standin.name, "a", 0, standin.ports))
         print(f"{standin.name} on 127.0.0.1:{standin.ports['a']}")
@@ -474,7 +477,7 @@
     }
     try:
         return acts[args.command](args)
-    except (ExperimentError, ClaimError, OSError) as error:
+    except (ExperimentError, InvalidAssertionError, OSError) as error:
         print(f"coraldeal rig: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
--- a/coraldeal/rig/crowd/draw.py
+++ b/coraldeal/rig/crowd/draw.py
@@ -6,7 +6,7 @@
 
 from coraldeal.rig.crowd.play import Options
 from coraldeal.rig.crowd.service import ServiceLimits
-from coraldeal.rig.draws import stream
+from coraldeal.rig.draws import random_stream
 
 # Seconds of discovery's work for one call of each node: beyond 3 s no order of calls can serve all.
 WHOLE_ROUND = (0.2, 2.0)
@@ -18,7 +18,7 @@
 
 def draw(seed: int) -> Options:
     """The same for the same seed on every machine."""
-    chance = stream(seed, "crowd")
+    chance = random_stream(seed, "crowd")
     nodes = int(chance.integers(NODES[0], NODES[1], endpoint=True))
     limits = ServiceLimits(
         work=round(float(chance.uniform(*WHOLE_ROUND)) / nodes, 3),
--- a/coraldeal/rig/crowd/play.py
+++ b/coraldeal/rig/crowd/play.py
@@ -16,7 +16,7 @@
 
 from coraldeal.rig.clock import now_us, sleep_until
 from coraldeal.rig.crowd.service import Call, CrowdedService, Place, ServiceLimits
-from coraldeal.rig.draws import stream
+from coraldeal.rig.draws import random_stream
 from coraldeal.rig.experiment import ExperimentError
 from coraldeal.rig.listing import Listed, entry
 from coraldeal.rig.nodes import NodeProcess, Program
@@ -226,7 +226,7 @@
         await asyncio.sleep(1.0)
         first_call = len(self.service.calls)
         began = now_us()
-        draws = stream(options.seed, "first move").uniform(0.0, options.spread, options.nodes)
+        draws = random_stream(options.seed, "first move").uniform(0.0, options.spread, options.nodes)
         moves = [
             asyncio.create_task(self._move(number, began + int(at * 1e6))) for number, at in enumerate(draws)
         ]
--- a/coraldeal/rig/listing.py
+++ b/coraldeal/rig/listing.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from coraldeal.rig.books import Book, ListRow, ToldRow
 from coraldeal.rig.clock import now_us
+from coraldeal.rig.records import ListRecord, NotificationRecord, Records
 
 EMPTY_EVERY = 2.0
 # Generations of changes kept for watches that begin again.
@@ -38,7 +38,7 @@
 class Listing:
     """The list of one tier, for all nodes before it."""
 
-    def __init__(self, layer: int, book: Book, delay_us: int) -> None:
+    def __init__(self, layer: int, book: Records, delay_us: int) -> None:
         self.layer = layer
         self.book = book
         self.delay_us = delay_us
@@ -87,7 +87,7 @@
         changed = Listed(name, server.zone, server.cell, server.ports, condition, born_ms or server.born_ms)
         self.servers[name] = changed
         self.generation += 1
-        self.book.lists.append(ListRow(self.layer, now_us(), "has", name, condition))
+        self.book.lists.append(ListRecord(self.layer, now_us(), "has", name, condition))
         self.changes.append((self.generation, changed))
         del self.changes[:-KEPT]
         for door in self.doors:
@@ -96,7 +96,7 @@
     def set_down(self, down: bool) -> None:
         """Down, watches end and calls fail."""
         if down != self.down:
-            self.book.lists.append(ListRow(self.layer, now_us(), "down" if down else "up"))
+            self.book.lists.append(ListRecord(self.layer, now_us(), "down" if down else "up"))
         self.down = down
         if down:
             for door in self.doors:
@@ -127,11 +127,11 @@
     }
 
 
-def told_rows(node: int, layer: int, told: dict[str, Any]) -> list[ToldRow]:
+def told_rows(node: int, layer: int, told: dict[str, Any]) -> list[NotificationRecord]:
     """What a list or its changes tell a node now, a row for each server."""
     now, version = now_us(), told["generation"]
     return [
-        ToldRow(node, layer, now, item["instanceId"], item["lifecycle"], version)
+        NotificationRecord(node, layer, now, item["instanceId"], item["lifecycle"], version)
         for item in told["instances"]
     ]
 
--- a/coraldeal/rig/nodes.py
+++ b/coraldeal/rig/nodes.py
@@ -21,8 +21,8 @@
 from typing import Any
 
 from coraldeal.rig.clock import now_us
-from coraldeal.rig.draws import stream
-from coraldeal.rig.experiment import Experiment, ExperimentError, Variant, put
+from coraldeal.rig.draws import random_stream
+from coraldeal.rig.experiment import Experiment, ExperimentError, Variant, set_by_path
 from coraldeal.rig.listing import Listing
 from coraldeal.rig.ready import is_ready
 
@@ -197,7 +197,7 @@
         seed: int,
     ) -> None:
         """Write its file; the keys of experiment and variant overrule."""
-        drawn = int(stream(seed, f"node {self.name}").integers(1 << 62))
+        drawn = int(random_stream(seed, f"node {self.name}").integers(1 << 62))
         config: dict[str, Any] = {
             "name": self.name,
             "listen": f"127.0.0.1:{self.port}",
@@ -209,7 +209,7 @@
         }
         for told in (experiment.node, variant.node):
             for key, value in told.items():
-                put(config, key, value, f"node of variant {variant.name}")
+                set_by_path(config, key, value, f"node of variant {variant.name}")
         self.own = {**experiment.operator, **variant.operator}
         tables: dict[str, list[str]] = {}
         for path, value in self.own.items():
--- a/coraldeal/rig/play.py
+++ b/coraldeal/rig/play.py
@@ -19,15 +19,15 @@
 import msgspec
 
 from coraldeal import __version__
-from coraldeal.rig.claims import holds, read_claim
+from coraldeal.rig.assertions import evaluate_assertion, parse_assertion
 from coraldeal.rig.clock import now_us
 from coraldeal.rig.experiment import (
     Experiment,
     ExperimentError,
     Variant,
-    put,
+    expand_variants,
     read_experiment,
-    variants_of,
+    set_by_path,
 )
 from coraldeal.rig.load import make_plan
 from coraldeal.rig.nodes import ROOT
@@ -144,10 +144,10 @@
     ) -> None:
         first, values = read_experiment(path)
         for key, value in (overrides or {}).items():
-            put(values, key, value, "--set")
+            set_by_path(values, key, value, "--set")
         if seed is not None:
             values["seed"] = seed
-        self.variants = variants_of(first, values, str(path))
+        self.variants = expand_variants(first, values, str(path))
         self.experiment = self.variants[0][1]
         self.folder = folder
         self.text = path.read_text(encoding="utf-8")
@@ -157,7 +157,7 @@
         self.interrupted = False
         # What can't be played is told before anything is started.
         for claim in self.experiment.claims:
-            read_claim(claim)
+            parse_assertion(claim)
         for _, experiment in self.variants:
             steps_of(experiment, experiment.seed)
 
@@ -273,7 +273,7 @@
     told = []
     for claim in experiment.claims:
         for name in names:
-            checked = [holds(claim, s.figures) for s in summaries if s.variant == name]
+            checked = [evaluate_assertion(claim, s.figures) for s in summaries if s.variant == name]
             if checked:
                 worst = next((c for c in checked if not c[0]), checked[0])
                 told.append(Verdict(claim, name, worst[0], worst[1]))
--- a/coraldeal/rig/results.py
+++ b/coraldeal/rig/results.py
@@ -14,9 +14,9 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from coraldeal.rig.books import TryRow
 from coraldeal.rig.child import fate, place_of
-from coraldeal.rig.rules import RULES, Judge, Violation
+from coraldeal.rig.records import TryRecord
+from coraldeal.rig.rules import RULES, RuleChecker, Violation
 from coraldeal.rig.run import Played
 from coraldeal.rig.timeline import server_names
 
@@ -89,7 +89,7 @@
         self.histograms: dict[str, Any] = {"all": histogram()}
         self.figures: dict[str, float] = {}
         self.warnings: list[str] = []
-        chains: dict[int, list[TryRow]] = defaultdict(list)
+        chains: dict[int, list[TryRecord]] = defaultdict(list)
         for row in played.book.tries:
             if row.layer == 0:
                 chains[row.inquiry].append(row)
@@ -105,8 +105,8 @@
         violations: list[Violation] = []
         counts = dict.fromkeys(RULES, 0)
         if self.experiment.rules == "check":
-            judge = Judge(self.experiment, self.played.book, self.played.marks, self.start)
-            violations = judge.judge()
+            judge = RuleChecker(self.experiment, self.played.book, self.played.marks, self.start)
+            violations = judge.check()
             counts = judge.counts
         self.figures.update(counts)
         self.figures["violations"] = sum(counts.values())
@@ -115,7 +115,7 @@
         troubles += [
             ((row.at_us - self.start) / SECOND, "fell", row.server)
             for row in played.book.servers
-            if row.what == "fell"
+            if row.event == "fell"
         ]
         summary = Summary(
             variant=played.variant.name,
@@ -153,27 +153,27 @@
             first, last = chain[0], chain[-1]
             if not self.from_us <= first.intended_us < self.until_us:
                 continue
-            track = self.tracks[first.track]
+            track = self.tracks[first.request_class]
             counts["asked"] += 1
             asked_worth += track.payoff
-            by_track[first.track][0] += 1
+            by_track[first.request_class][0] += 1
             for row in chain:
                 tries[fate(row.status)] += 1
                 tries["all"] += 1
             if last.status == 200:
                 took = last.end_us - first.intended_us
                 counts["satisfied"] += 1
-                by_track[first.track][1] += 1
+                by_track[first.request_class][1] += 1
                 in_time = took <= track.expected_ms * 1000
                 counts["in_time"] += in_time
                 got_worth += track.payoff if in_time else track.late_payoff
                 value = max(1, min(took, LATENCY_MOST))
                 self.histograms["all"].record_value(value)
-                if first.track not in self.histograms:
-                    self.histograms[first.track] = histogram()
-                self.histograms[first.track].record_value(value)
+                if first.request_class not in self.histograms:
+                    self.histograms[first.request_class] = histogram()
+                self.histograms[first.request_class].record_value(value)
             else:
-                counts["left" if last.why == "left" else fate(last.status)] += 1
+                counts["left" if last.failure == "left" else fate(last.status)] += 1
         asked = max(1, counts["asked"])
         seconds = max(1e-6, (self.until_us - self.from_us) / SECOND)
         figures = self.figures
@@ -194,7 +194,7 @@
             figures[f"{name.replace('.', '_')}_ms"] = latency
 
         # Those who met the end of a process: refused, cut off, or sent to one that never read it.
-        met = [row.why for chain in self.chains for row in chain]
+        met = [row.failure for chain in self.chains for row in chain]
         figures["met_end"] = sum(why in ("refused", "closed", "resent") for why in met)
         doors = self.played.doors
         if doors.took_us:
@@ -215,24 +215,24 @@
         figures = self.figures
         figures["trips"] = len(front)
         figures["trips_per_inquiry"] = len(front) / max(1.0, figures["asked"])
-        figures["declined_trips"] = sum(row.how == "declined" for row in rows)
+        figures["declined_trips"] = sum(row.result == "declined" for row in rows)
         ended = {row.id: row.end_us for row in book.tries}
         work = wasted = 0
         for row in rows:
             if row.ran:
                 work += row.work_us
                 over = ended.get(row.id, 0)
-                if row.how not in ("served", "repeated") or (over and row.end_us > over):
+                if row.result not in ("served", "repeated") or (over and row.end_us > over):
                     wasted += row.work_us
         figures["wasted_work_part"] = wasted / work if work else 0.0
         home = self._zones()
         crossed = sum(home.get(row.server, row.zone) != row.zone for row in rows)
         figures["crossing_part"] = crossed / max(1, len(rows))
-        figures["fell"] = sum(row.what == "fell" for row in book.servers)
+        figures["fell"] = sum(row.event == "fell" for row in book.servers)
         if len(self.experiment.world.tiers) > 1:
             deeper = [row for row in rows if row.layer > 0]
             figures["deeper_trips"] = len(deeper)
-            late = [row for row in deeper if row.ran and row.how == "called_off"]
+            late = [row for row in deeper if row.ran and row.result == "called_off"]
             figures["deeper_called_off"] = len(late)
 
     def _zones(self) -> dict[str, str]:
@@ -246,7 +246,7 @@
         told: dict[str, Counter[str]] = {name: Counter() for name in self._zones()}
         for row in self.played.book.attempts:
             told[row.server]["trips"] += 1
-            told[row.server][row.how] += 1
+            told[row.server][row.result] += 1
         return {name: dict(counts) for name, counts in told.items()}
 
     # Over time.
@@ -265,7 +265,7 @@
         for row in self.played.book.tries:
             if row.layer == 0:
                 add(counts["offered"], row.intended_us)
-                if row.end_us and row.why not in ("left", "ended"):
+                if row.end_us and row.failure not in ("left", "ended"):
                     add(counts[fate(row.status)], row.end_us)
         for attempt in self.played.book.attempts:
             if attempt.layer == 0:
--- a/coraldeal/rig/run.py
+++ b/coraldeal/rig/run.py
@@ -20,25 +20,25 @@
 
 import msgspec
 
-from coraldeal.rig.books import Book, LateRow, read_book
 from coraldeal.rig.child import place_of
 from coraldeal.rig.clock import now_us, own_cpu_s, sleep_until
 from coraldeal.rig.experiment import Experiment, ExperimentError, Variant
 from coraldeal.rig.jobs import (
     Begin,
     CallersJob,
+    ChildMessage,
     Failed,
     Nodes,
-    Order,
+    ParentMessage,
     Progress,
     Ready,
     ServersJob,
     Stop,
-    Told,
 )
 from coraldeal.rig.listing import Listed, Listing, told_rows
 from coraldeal.rig.nodes import ROOT, NodeProcess, Program, program_of
-from coraldeal.rig.rules import NodeMark
+from coraldeal.rig.records import LatenessRecord, Records, read_records
+from coraldeal.rig.rules import NodeEvent
 from coraldeal.rig.timeline import Step, node_names, server_names, steps_of
 
 # Between the last part being ready and the first arrival.
@@ -78,8 +78,8 @@
     seed: int
     start_us: int
     end_us: int
-    book: Book
-    marks: list[NodeMark]
+    book: Records
+    marks: list[NodeEvent]
     nodes: dict[str, NodeFigures]
     steps: list[Step]
     whole: bool = True
@@ -102,7 +102,7 @@
         self.latest = Progress()
         self.reader = asyncio.create_task(self._read())
 
-    def tell(self, order: Order | ServersJob | CallersJob) -> None:
+    def tell(self, order: ParentMessage | ServersJob | CallersJob) -> None:
         assert self.process.stdin is not None
         with contextlib.suppress(ConnectionError):
             self.process.stdin.write(msgspec.json.encode(order) + b"\n")
@@ -111,7 +111,7 @@
         assert self.process.stdout is not None
         why = "ended without a word"
         while line := await self.process.stdout.readline():
-            told: Told = msgspec.json.decode(line, type=Told)
+            told: ChildMessage = msgspec.json.decode(line, type=ChildMessage)
             if isinstance(told, Ready) and not self.ready.done():
                 self.ready.set_result(told)
             elif isinstance(told, Progress):
@@ -155,11 +155,11 @@
         self.folder = folder
         self.on_progress = on_progress
         self.steps = steps_of(experiment, seed)
-        self.book = Book(process="run")
+        self.book = Records(process="run")
         self.children: list[_Process] = []
         self.listings: list[Listing] = []
         self.nodes: list[NodeProcess] = []
-        self.marks: list[NodeMark] = []
+        self.marks: list[NodeEvent] = []
         self.figures: dict[str, NodeFigures] = {}
         self.doors = Doors()
         self.tasks: list[asyncio.Task[None]] = []
@@ -413,7 +413,7 @@
             await asyncio.sleep(DOOR_EVERY)
 
     def _mark(self, node: NodeProcess, what: str) -> None:
-        self.marks.append(NodeMark(node.layer, node.number, now_us(), what))
+        self.marks.append(NodeEvent(node.layer, node.number, now_us(), what))
 
     def _count(self, node: NodeProcess) -> None:
         """What a process used, before it is gone."""
@@ -430,7 +430,7 @@
             await asyncio.sleep(MEMORY_EVERY)
             late = now_us() - due
             if late > 20_000:
-                self.book.late.append(LateRow("run", now_us(), late))
+                self.book.late.append(LatenessRecord("run", now_us(), late))
             for node in self.nodes:
                 if node.process is not None and node.process.returncode is not None:
                     if not node.expected_end:
@@ -462,9 +462,9 @@
         rig_cpu = {"run": cpu_s}
         for child in self.children:
             with contextlib.suppress(OSError, msgspec.DecodeError):
-                book = read_book(child.book)
+                book = read_records(child.book)
                 rig_cpu[child.name] = book.cpu_s
-                self.book.take_in(book)
+                self.book.merge(book)
                 child.book.unlink()
         for node in self.nodes:
             self.figures[node.name].starts = node.starts
--- a/coraldeal/rig/scale/fleet.py
+++ b/coraldeal/rig/scale/fleet.py
@@ -11,7 +11,7 @@
 import msgspec
 import numpy as np
 
-from coraldeal.rig.draws import stream
+from coraldeal.rig.draws import random_stream
 
 # The target: so many servers stand in so many services, zones and regions.
 SERVERS, SERVICES, ZONES, REGIONS = 21_000, 670, 41, 11
@@ -78,16 +78,16 @@
     zones = _within(servers / ZONE_LEAST, ZONES_LEAST, ZONES)
     regions = _within(REGIONS * zones / ZONES, REGIONS_LEAST, REGIONS)
     # Each service has a server; the rest fall to it by its part.
-    sizes = 1 + stream(seed, "sizes").multinomial(max(0, servers - services), _zipf(services))
+    sizes = 1 + random_stream(seed, "sizes").multinomial(max(0, servers - services), _zipf(services))
     of_place = np.repeat(np.arange(services), sizes)[:servers]
-    zone_of = stream(seed, "zones").permutation(np.arange(len(of_place)) % zones)
-    weights = stream(seed, "weights").choice(len(WEIGHTS), size=len(of_place))
+    zone_of = random_stream(seed, "zones").permutation(np.arange(len(of_place)) % zones)
+    weights = random_stream(seed, "weights").choice(len(WEIGHTS), size=len(of_place))
     places = [
         Place(number, int(of_place[number]), int(zone_of[number]), WEIGHTS[int(weights[number])])
         for number in range(len(of_place))
     ]
-    popular = stream(seed, "popular").permutation(services)
-    draws = stream(seed, "followers")
+    popular = random_stream(seed, "popular").permutation(services)
+    draws = random_stream(seed, "followers")
     counts = 1 + draws.choice(len(FOLLOWED), size=len(places), p=FOLLOWED)
     parts = _zipf(services)
     followers = []
--- a/coraldeal/rig/scale/timeline.py
+++ b/coraldeal/rig/scale/timeline.py
@@ -9,7 +9,7 @@
 
 import numpy as np
 
-from coraldeal.rig.draws import stream
+from coraldeal.rig.draws import random_stream
 from coraldeal.rig.scale.fleet import RACK, SERVERS, Fleet, Place
 from coraldeal.rig.scale.journal import OF_SOURCE, Change, Plant, Timeline, Window, weight_of
 
@@ -57,7 +57,7 @@
         self.windows: list[Window] = []
         self.acts: list[tuple[int, int, str, str]] = []
         self.busy: dict[int, list[tuple[int, int]]] = defaultdict(list)
-        draws = stream(fleet.seed, "troubles")
+        draws = random_stream(fleet.seed, "troubles")
         silent = 0
         for name in troubles:
             start, end = (int(part * self.end_us) for part in WINDOWS[name])
@@ -88,7 +88,7 @@
 
     def groups(self) -> None:
         """A rack, a zone: gone at once, back cold at once."""
-        draws = stream(self.fleet.seed, "groups")
+        draws = random_stream(self.fleet.seed, "groups")
         by_zone: dict[int, list[int]] = defaultdict(list)
         for place in self.fleet.places:
             by_zone[place.zone].append(place.number)
@@ -110,7 +110,7 @@
             return
         fleet = self.fleet
         service = fleet.played[0]
-        draws = stream(fleet.seed, "release")
+        draws = random_stream(fleet.seed, "release")
         chosen = [int(number) for number in draws.permutation([p.number for p in fleet.of_service(service)])]
         chosen = [number for number in chosen if self.free(number, window.from_us, window.to_us)]
         chosen = chosen[: max(3, len(chosen) // 10) + 1]
@@ -143,7 +143,7 @@
 
     def base(self) -> None:
         """Changes by chance at the rate of their moment."""
-        draws = stream(self.fleet.seed, "base")
+        draws = random_stream(self.fleet.seed, "base")
         mean = sum(part * changes for part, changes in EVENTS.values())
         kinds = list(EVENTS)
         parts = [part for part, _ in EVENTS.values()]
@@ -186,7 +186,7 @@
 
     def plant(self, kind: str) -> tuple[int, int]:
         """A server that has no other changes, and a hollow follower of its service: two acts on it."""
-        draws = stream(self.fleet.seed, f"plant {kind}")
+        draws = random_stream(self.fleet.seed, f"plant {kind}")
         hollow = self.fleet.followers[: len(self.fleet.places)]
         follower = hollow[int(draws.integers(len(hollow)))]
         places = [
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -43,13 +43,21 @@
 from coraldeal.net.servers import Servers
 from coraldeal.net.wire import Listed, Objects, read_list
 from coraldeal.notes import pack
-from coraldeal.rig.books import Book
 from coraldeal.rig.clock import run as on_clock
-from coraldeal.rig.experiment import Experiment, ExperimentError, Load, TierSpec, TrackSpec, Variant, World
+from coraldeal.rig.experiment import (
+    Experiment,
+    ExperimentError,
+    Load,
+    RequestClassSpec,
+    TierSpec,
+    Variant,
+    World,
+)
 from coraldeal.rig.listing import Listed as ListedServer
 from coraldeal.rig.listing import Listing, entry
 from coraldeal.rig.nodes import NodeProcess, process_figures, program_of
 from coraldeal.rig.play import Play
+from coraldeal.rig.records import Records
 
 # Servers in a list: a service, ten, a hundred, and all of the target.
 SERVERS = (31, 310, 3_100, 21_000)
@@ -344,7 +352,7 @@
 
 async def _follow(count: int) -> tuple[float, float]:
     """With so many followers: microseconds of one change, bytes held."""
-    listing = Listing(0, Book(), 0)
+    listing = Listing(0, Records(), 0)
     for number in range(31):
         listing.add(ListedServer(f"server-{number}", "a", number, {"a": 10_000 + number}))
     loop = asyncio.get_running_loop()
@@ -508,9 +516,9 @@
 
     async def played() -> _Node:
         tier = TierSpec(servers=servers)
-        tracks = [TrackSpec(name="read")]
+        tracks = [RequestClassSpec(name="read")]
         experiment = Experiment(name="slopes", world=World(tiers=[tier]), load=Load(tracks=tracks))
-        listing = Listing(0, Book(), 0)
+        listing = Listing(0, Records(), 0)
         for number in range(servers):
             listing.add(ListedServer(f"server-{number}", "a", number, {"a": 10_000 + number}))
         door = await listing.open(0, "a")
--- a/coraldeal/rig/soak/draw.py
+++ b/coraldeal/rig/soak/draw.py
@@ -6,8 +6,8 @@
 
 import numpy as np
 
-from coraldeal.rig.draws import stream
-from coraldeal.rig.experiment import BadSpec, Event, Experiment, Load, TierSpec, TrackSpec, World
+from coraldeal.rig.draws import random_stream
+from coraldeal.rig.experiment import BadSpec, Event, Experiment, Load, RequestClassSpec, TierSpec, World
 from coraldeal.rig.soak.shim import SystemFaults
 
 SECONDS = 18.0
@@ -43,7 +43,7 @@
 
 def draw(seed: int) -> Drawn:
     """The same for the same seed on every machine."""
-    chance = stream(seed, "soak")
+    chance = random_stream(seed, "soak")
     nodes = int(chance.integers(2, 5))
     servers = int(chance.integers(5, 9))
     world = World(
@@ -55,9 +55,9 @@
     )
     work_ms = float(chance.uniform(15.0, 40.0))
     tracks = [
-        TrackSpec(name="read", share=0.5, work_ms=work_ms),
-        TrackSpec(name="once", share=0.25, effect="irreversible", work_ms=work_ms),
-        TrackSpec(name="marked", share=0.25, effect="labelled", payoff=5, work_ms=work_ms),
+        RequestClassSpec(name="read", share=0.5, work_ms=work_ms),
+        RequestClassSpec(name="once", share=0.25, effect="irreversible", work_ms=work_ms),
+        RequestClassSpec(name="marked", share=0.25, effect="labelled", payoff=5, work_ms=work_ms),
     ]
     load = Load(
         tracks=tracks,
--- a/coraldeal/rig/soak/play.py
+++ b/coraldeal/rig/soak/play.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from coraldeal.rig.books import TryRow
 from coraldeal.rig.crowd.draw import draw as draw_crowd
 from coraldeal.rig.crowd.play import play as play_crowd
 from coraldeal.rig.experiment import ExperimentError, Variant
 from coraldeal.rig.nodes import ROOT, Program
-from coraldeal.rig.rules import Judge
+from coraldeal.rig.records import TryRecord
+from coraldeal.rig.rules import RuleChecker
 from coraldeal.rig.run import Played, Run
 from coraldeal.rig.soak.draw import Drawn, draw
 from coraldeal.rig.soak.shim import ShimError, build
@@ -121,7 +121,7 @@
     played = await run.play()
     if drawn.faults is not None and library is not None:
         not_run += _not_forced(drawn, log)
-    judged = Judge(played.experiment, played.book, played.marks, played.start_us)
+    judged = RuleChecker(played.experiment, played.book, played.marks, played.start_us)
     broken = broken_by(played, judged)
     if broken:
         _keep(played, judged, folder)
@@ -130,11 +130,11 @@
     return Verdict(seed, about, broken, not_run)
 
 
-def _keep(played: Played, judged: Judge, folder: Path) -> None:
+def _keep(played: Played, judged: RuleChecker, folder: Path) -> None:
     """What a failing seed is traced by: its books, and each violation with the rows of its request."""
     lines = [
         line
-        for violation in judged.broken
+        for violation in judged.violations
         for line in (f"{violation.rule}: {violation.what}", *violation.trace)
     ]
     (folder / "violations.txt").write_text("\n".join(lines) + "\n", encoding="utf-8")
@@ -158,9 +158,9 @@
     return ", ".join(words)
 
 
-def broken_by(played: Played, judged: Judge) -> list[str]:
+def broken_by(played: Played, judged: RuleChecker) -> list[str]:
     """What a run broke: rules, by their judge, crashes, memory, nodes out of use."""
-    first = {violation.rule: violation for violation in reversed(judged.judge())}
+    first = {violation.rule: violation for violation in reversed(judged.check())}
     broken = [f"{rule}: {judged.counts[rule]}, first {first[rule].what}" for rule in first]
     for name, figures in played.nodes.items():
         if figures.crashes:
@@ -173,10 +173,10 @@
 def _out_of_use(played: Played) -> list[str]:
     """Nodes that served nothing of all they got of a track for a while."""
     broken = []
-    ended: dict[tuple[int, str], list[TryRow]] = defaultdict(list)
+    ended: dict[tuple[int, str], list[TryRecord]] = defaultdict(list)
     for row in sorted(played.book.tries, key=lambda row: row.end_us):
         if row.status and row.node >= 0:
-            ended[row.node, row.track].append(row)
+            ended[row.node, row.request_class].append(row)
     for (node, track), rows in ended.items():
         since, count = 0, 0
         for row in rows:
--- a/coraldeal/rig/timeline.py
+++ b/coraldeal/rig/timeline.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from coraldeal.rig.draws import stream
+from coraldeal.rig.draws import random_stream
 from coraldeal.rig.experiment import Event, Experiment, ExperimentError
 
 SECOND = 1_000_000
@@ -58,10 +58,10 @@
                 count = round(float(part[:-1]) / 100 * len(of))
             except ValueError:
                 raise ExperimentError(f"{where}.who: {word!r} is not a part of them") from None
-            picked = stream(seed, f"who {where} {word}").permutation(len(of))[:count]
+            picked = random_stream(seed, f"who {where} {word}").permutation(len(of))[:count]
             chosen.update(dict.fromkeys(of[i] for i in sorted(picked.tolist())))
         elif part.isdigit() and not prefix:
-            picked = stream(seed, f"who {where} {word}").permutation(len(of))[: int(part)]
+            picked = random_stream(seed, f"who {where} {word}").permutation(len(of))[: int(part)]
             chosen.update(dict.fromkeys(of[i] for i in sorted(picked.tolist())))
         elif word in names:
             chosen[word] = None
@@ -73,7 +73,7 @@
 def drawn(experiment: Experiment, seed: int) -> list[Event]:
     """The troubles that the seed adds to those of the file."""
     told = experiment.troubles
-    draws = stream(seed, "troubles")
+    draws = random_stream(seed, "troubles")
     events = []
     last = experiment.seconds - experiment.settle_seconds
     for _ in range(told.count):
--- a/coraldeal/rig/transfers.py
+++ b/coraldeal/rig/transfers.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from coraldeal.rig.draws import stream
+from coraldeal.rig.draws import random_stream
 from coraldeal.rig.experiment import Variant
 from coraldeal.rig.nodes import NodeProcess, Program, process_figures, program_of
 from coraldeal.rig.run import free_port
@@ -113,7 +113,7 @@
 
 async def transfers(count: int, megabytes: int) -> Transfers:
     """So many at once, half of them bodies; raises ExperimentError where the node does not come up."""
-    body = stream(1, "transfers").bytes(MIB) * megabytes
+    body = random_stream(1, "transfers").bytes(MIB) * megabytes
     with tempfile.TemporaryDirectory() as folder:
         server = await asyncio.start_server(_Server(body).talk, "127.0.0.1", 0, limit=256 * 1024)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -11,16 +11,16 @@
 import unittest
 from pathlib import Path
 
-from coraldeal.rig.books import Book, ListRow, TryRow
 from coraldeal.rig.crowd.draw import WHOLE_ROUND
 from coraldeal.rig.crowd.draw import draw as draw_crowd
 from coraldeal.rig.experiment import Experiment, Variant, World
-from coraldeal.rig.rules import Judge
+from coraldeal.rig.records import ListRecord, Records, TryRecord
+from coraldeal.rig.rules import RuleChecker
 from coraldeal.rig.run import Played
 from coraldeal.rig.soak.draw import LAST_TROUBLE, draw
 from coraldeal.rig.soak.play import Options, Verdict, broken_by, command_for, soak, told
 from coraldeal.rig.soak.shim import ShimError, SystemFaults, build
-from tests.rig.test_rules import MS, SECOND, START, attempt, tried
+from tests.rig.test_rules import MS, SECOND, START, make_attempt, make_try
 
 # What a process under the shim sees: the wall clock before and after a step, and each call's outcome.
 PROBE = """
@@ -87,46 +87,50 @@
 
 
 class Judging(unittest.TestCase):
-    def counts(self, book: Book, mode: str = "ask") -> dict[str, int]:
+    def counts(self, book: Records, mode: str = "ask") -> dict[str, int]:
         experiment = Experiment(name="x", world=World(list_mode=mode))  # type: ignore[arg-type]
-        judged = Judge(experiment, book, [], START)
-        judged.judge()
+        judged = RuleChecker(experiment, book, [], START)
+        judged.check()
         return {rule: count for rule, count in judged.counts.items() if count}
 
     def test_an_attempt_that_begins_after_its_client_left(self) -> None:
-        left = tried(status=0, why="left")
-        self.assertEqual(self.counts(Book(tries=[left], attempts=[attempt(at=50 * MS)])), {})
-        self.assertEqual(self.counts(Book(tries=[left], attempts=[attempt(at=300 * MS)])), {"lost": 1})
+        left = make_try(status=0, failure="left")
+        self.assertEqual(self.counts(Records(tries=[left], attempts=[make_attempt(at=50 * MS)])), {})
+        self.assertEqual(
+            self.counts(Records(tries=[left], attempts=[make_attempt(at=300 * MS)])), {"lost": 1}
+        )
 
     def test_a_drain_that_was_never_written_counts_six_seconds_later(self) -> None:
-        drains = ListRow(0, START, "has", "front-0", "Terminating")
+        drains = ListRecord(0, START, "has", "front-0", "Terminating")
         for at, expected in ((7 * SECOND, {}), (8 * SECOND, {"drain": 1})):
-            row = attempt(at=at)
-            asked = tried(at=at)
-            self.assertEqual(self.counts(Book(tries=[asked], attempts=[row], lists=[drains])), expected)
+            row = make_attempt(at=at)
+            asked = make_try(at=at)
+            self.assertEqual(self.counts(Records(tries=[asked], attempts=[row], lists=[drains])), expected)
 
     def test_an_outage_puts_it_off_and_an_agents_word_counts_at_once(self) -> None:
-        drains = ListRow(0, START + SECOND, "has", "front-0", "Terminating")
-        outage = [ListRow(0, START, "down"), drains, ListRow(0, START + 3 * SECOND, "up")]
+        drains = ListRecord(0, START + SECOND, "has", "front-0", "Terminating")
+        outage = [ListRecord(0, START, "down"), drains, ListRecord(0, START + 3 * SECOND, "up")]
         for mode, at, expected in (
             ("ask", 10 * SECOND, {}),
             ("ask", 11 * SECOND, {"drain": 1}),
             ("push", 4 * SECOND, {}),
             ("push", 5 * SECOND, {"drain": 1}),
         ):
-            book = Book(tries=[tried(at=at)], attempts=[attempt(at=at)], lists=list(outage))
+            book = Records(tries=[make_try(at=at)], attempts=[make_attempt(at=at)], lists=list(outage))
             self.assertEqual(self.counts(book, mode), expected)
 
     def test_a_node_that_serves_nothing_of_a_track(self) -> None:
-        def rejected(count: int) -> list[TryRow]:
-            return [tried(number, at=number * 300 * MS, status=503, own=False) for number in range(count)]
+        def rejected(count: int) -> list[TryRecord]:
+            return [
+                make_try(number, at=number * 300 * MS, status=503, is_own=False) for number in range(count)
+            ]
 
-        for rows, expected in ((rejected(30), 1), (rejected(10), 0), ([*rejected(30), tried()], 1)):
+        for rows, expected in ((rejected(30), 1), (rejected(10), 0), ([*rejected(30), make_try()], 1)):
             experiment = Experiment(name="x")
             played = Played(
-                experiment, Variant(name="x"), 1, START, START + 20 * SECOND, Book(tries=rows), [], {}, []
+                experiment, Variant(name="x"), 1, START, START + 20 * SECOND, Records(tries=rows), [], {}, []
             )
-            judged = Judge(experiment, played.book, played.marks, START)
+            judged = RuleChecker(experiment, played.book, played.marks, START)
             self.assertEqual(len(broken_by(played, judged)), expected)
 
     def test_a_failing_seed_tells_how_it_is_played_again(self) -> None:
