--- a/coraldeal/balance.py
+++ b/coraldeal/balance.py
@@ -37,12 +37,12 @@
     Host,
     InquiryId,
     ListKind,
-    Note,
-    NoteKind,
     Outcome,
+    PeerMessage,
+    PeerMessageKind,
+    RequestClass,
     ServerId,
     Settings,
-    Track,
 )
 
 SECOND = 1_000_000
@@ -93,27 +93,27 @@
 ASK_WAIT = 80_000
 
 
-class TrackState:
+class RequestClassState:
     """What is learned of a track, for the life of the instance."""
 
     __slots__ = ("answers", "calm", "max_attempts", "mean", "median", "slow", "track")
 
-    def __init__(self, track: Track, max_attempts: int) -> None:
+    def __init__(self, track: RequestClass, max_attempts: int) -> None:
         # An inquiry keeps this object, and so the rules that it came with, when the settings change.
         self.track = track
         self.max_attempts = max_attempts
         # Latencies in microseconds: the median, the mean, and a slow one (nine in ten are faster).
-        self.median = track.expected_time_us / 8
+        self.median = track.latency_target_us / 8
         self.mean, self.answers = self.median, 0
-        self.slow = track.expected_time_us / 3
+        self.slow = track.latency_target_us / 3
         # The mean when all is well.
-        self.calm = track.expected_time_us / 6
+        self.calm = track.latency_target_us / 6
 
-    def under(self, track: Track, max_attempts: int) -> TrackState:
+    def under(self, track: RequestClass, max_attempts: int) -> RequestClassState:
         """What was learned, under other rules of the same track."""
         if track == self.track and max_attempts == self.max_attempts:
             return self
-        other = TrackState(track, max_attempts)
+        other = RequestClassState(track, max_attempts)
         for name in ("answers", "calm", "mean", "median", "slow"):
             setattr(other, name, getattr(self, name))
         return other
@@ -177,7 +177,7 @@
     """One inquiry, from its arrival to its final answer."""
 
     name: InquiryId
-    state: TrackState
+    state: RequestClassState
     # Where it may go.
     rotation: Rotation
     worth: float
@@ -243,7 +243,7 @@
         self.host = host
         self.seed = seed
         self.draws = self.order = 0
-        self.tracks: dict[str, TrackState] = {}
+        self.tracks: dict[str, RequestClassState] = {}
         # By the zones and kinds that tracks are bound to; the first is that of tracks that may go anywhere.
         self.whole = Rotation()
         self.rotations: dict[tuple[tuple[str, ...], tuple[str, ...]], Rotation] = {((), ()): self.whole}
@@ -278,25 +278,27 @@
         # How long answers took of late, from any server, as a part of the time they have.
         self.pace = 0.0
         host.wake("sweep", SWEEP)
-        if settings.list_is_asked:
-            self._wake_for_list(int(self._chance() * min(settings.ask_every_us * 4 // 5, FIRST_CALL_SPREAD)))
+        if settings.list_is_pulled:
+            self._wake_for_list(
+                int(self._chance() * min(settings.pull_interval_us * 4 // 5, FIRST_CALL_SPREAD))
+            )
 
     # Settings.
 
     def _take(self, settings: Settings) -> None:
         """Settings, and the few figures that decisions make of them."""
         self.settings = settings
-        payoffs = [track.payoff for track in settings.tracks]
-        self.core_worth = sum(payoffs) / max(1, len(payoffs))
+        worths = [track.worth for track in settings.request_classes]
+        self.core_worth = sum(worths) / max(1, len(worths))
         known, most = self.tracks, settings.max_attempts
         self.tracks = {
-            t.name: known[t.name].under(t, most) if t.name in known else TrackState(t, most)
-            for t in settings.tracks
+            t.name: known[t.name].under(t, most) if t.name in known else RequestClassState(t, most)
+            for t in settings.request_classes
         }
-        for track in settings.tracks:
-            self.rotations.setdefault(track.bound_to, Rotation())
+        for track in settings.request_classes:
+            self.rotations.setdefault(track.placement, Rotation())
         self.front = settings.layer == 0
-        self.max_pause = settings.max_pause_us if settings.may_advise_pause else 0
+        self.max_pause = settings.max_retry_after_us if settings.may_send_retry_after else 0
         self.margin = max(2 * settings.tick_us, 5_000)
         self.token_wait = max(2 * settings.tick_us, 10_000)
         self.may_message = settings.peers > 1
@@ -304,14 +306,14 @@
         self.place = settings.self_index * 0.6180339887 % 1.0
         # The list's service takes a call of each node in some seconds: calls are spread by chance. A change
         # counts as told after 6 s, so two waits and a call between them that fails after 3 s stay under that.
-        self.list_wait_most = min(settings.ask_every_us, SECOND) * 4 // 5
-        self.list_wait_least = min(settings.ask_every_us // 10, self.list_wait_most)
+        self.list_wait_most = min(settings.pull_interval_us, SECOND) * 4 // 5
+        self.list_wait_least = min(settings.pull_interval_us // 10, self.list_wait_most)
         promised = sum(tenant.quota_per_s for tenant in settings.tenants)
         self.share = {t.name: t.quota_per_s / promised for t in settings.tenants if promised > 0}
-        self.longest = max((track.patience_us for track in settings.tracks), default=SECOND)
-        self.shortest = min((track.expected_time_us for track in settings.tracks), default=SECOND)
+        self.longest = max((track.deadline_us for track in settings.request_classes), default=SECOND)
+        self.shortest = min((track.latency_target_us for track in settings.request_classes), default=SECOND)
         self.ask_wait = min(ASK_WAIT, self.shortest // 6)
-        self.most_worth = max(payoffs, default=1.0)
+        self.most_worth = max(worths, default=1.0)
 
     def settings_changed(self, settings: Settings) -> None:
         """Other settings hold for what arrives from now on; what was learned stays where its track does."""
@@ -329,21 +331,21 @@
     # An inquiry's path.
 
     def inquiry_arrived(
-        self, name: InquiryId, track: str, tenant: str | None, left_us: int, repeat: bool
+        self, name: InquiryId, track: str, tenant: str | None, time_left_us: int, repeat: bool
     ) -> None:
         """A new inquiry: let in or dropped, then sent or held."""
         now = self.host.now
         state = self.tracks[track]
-        # What it is worth now: a track's payoff, or little of it beyond the tenant's share.
+        # What it is worth now: a track's worth, or little of it beyond the tenant's share.
         within = tenant is None or self._within_share(tenant, now)
-        worth = state.track.payoff * (1.0 if within else self.settings.beyond_share_payoff)
+        worth = state.track.worth * (1.0 if within else self.settings.beyond_share_worth)
         # Until when an answer is worth most. Of a later try's time the client has used up a part already.
-        useful = state.track.expected_time_us
+        useful = state.track.latency_target_us
         if self.front and repeat:
-            useful -= max(0, state.track.patience_us - left_us)
-        span = min(useful, left_us) - self.margin
-        late_end = now + (left_us - self.margin if state.track.late_payoff > 0 else span)
-        rotation = self.rotations[state.track.bound_to]
+            useful -= max(0, state.track.deadline_us - time_left_us)
+        span = min(useful, time_left_us) - self.margin
+        late_end = now + (time_left_us - self.margin if state.track.late_worth > 0 else span)
+        rotation = self.rotations[state.track.placement]
         inquiry = Inquiry(name, state, rotation, worth, now + span, late_end, span)
         self.inquiries[name] = inquiry
         self.seen += 1
@@ -367,7 +369,7 @@
     def may_begin(self, name: InquiryId) -> bool:
         """Whether the attempt out may still write its first byte, which may have waited for a connection."""
         inquiry = self.inquiries.get(name)
-        if inquiry is None or inquiry.ran_on is None or inquiry.state.track.effect is Effect.REDOABLE:
+        if inquiry is None or inquiry.ran_on is None or inquiry.state.track.effect is Effect.IDEMPOTENT:
             return True
         return self._in_window(inquiry, self.host.now)
 
@@ -412,8 +414,8 @@
             return
         attempt.server.attempts.pop((name, number), None)
         if self.may_message:
-            found = attempt.found if outcome is Outcome.SATISFIED else 0
-            self._tell_keeper(NoteKind.ENDED, attempt.server, found, latency_us)
+            found = attempt.found if outcome is Outcome.SERVED else 0
+            self._tell_keeper(PeerMessageKind.ENDED, attempt.server, found, latency_us)
         self._judge(attempt, outcome, latency_us, now)
         inquiry = attempt.inquiry
         inquiry.out = None
@@ -434,8 +436,8 @@
         if inquiry is None:
             return
         self._forget(inquiry)
-        if inquiry.out is not None and self.settings.may_withdraw:
-            self.host.withdraw(name, inquiry.out.number)
+        if inquiry.out is not None and self.settings.may_cancel:
+            self.host.cancel(name, inquiry.out.number)
 
     def alarm(self, token: str) -> None:
         """A time asked for with `wake` has come."""
@@ -457,15 +459,15 @@
 
     # Books of servers: what nodes tell one another.
 
-    def note_came(self, peer: int, note: Note) -> None:
+    def note_came(self, peer: int, note: PeerMessage) -> None:
         """Another node asks how full a server is, answers, or tells of its own attempts there."""
         now = self.host.now
         server = self.by_tag.get(note.tag)
         if server is None:
             return
-        if note.kind is NoteKind.ANSWER:
+        if note.kind is PeerMessageKind.ANSWER:
             # Nodes agree on the bound: each keeper learns a little of it, all draw towards each other.
-            self.bound += AGREE * (note.bound - self.bound)
+            self.bound += AGREE * (note.global_limit - self.bound)
             if peer != self.settings.peer_index:
                 self.heard_until = now + self.longest
             server.told, server.told_until = note.attempts, now + 4 * self.ask_wait
@@ -477,7 +479,7 @@
             return
         book = self.books.setdefault(note.tag, Book())
         book.attempts[peer] = note.attempts, now
-        if note.kind is NoteKind.ASK:
+        if note.kind is PeerMessageKind.ASK:
             total = self._answer(note.tag, peer, now)
             if (
                 total + note.attempts + 1 > self._limit(server) * LEAST_ROOM
@@ -485,23 +487,25 @@
             ):
                 book.waiting.append(peer)
             return
-        if note.kind is NoteKind.ENDED:
-            self._learn_bound(book, server, note.found, note.latency_us)
+        if note.kind is PeerMessageKind.ENDED:
+            self._learn_bound(book, server, note.in_flight_at_start, note.latency_us)
         if book.waiting:
             # Who found the server full is told at each change there: told at ends alone they found less.
             self._answer(note.tag, book.waiting.pop(0), now)
 
     def _answer(self, tag: int, peer: int, now: int) -> int:
         total = self.books[tag].total(peer, now - self.longest)
-        self._tell(peer, Note(NoteKind.ANSWER, tag, total, bound=self.bound))
+        self._tell(peer, PeerMessage(PeerMessageKind.ANSWER, tag, total, global_limit=self.bound))
         return total
 
-    def _tell(self, peer: int, note: Note) -> None:
-        tell = self.note_came if peer == self.settings.peer_index else self.host.tell
+    def _tell(self, peer: int, note: PeerMessage) -> None:
+        tell = self.note_came if peer == self.settings.peer_index else self.host.send_to_peer
         tell(peer, note)
 
-    def _tell_keeper(self, kind: NoteKind, server: Server, found: int = 0, latency_us: int = 0) -> None:
-        note = Note(kind, server.tag, len(server.attempts), found, latency_us)
+    def _tell_keeper(
+        self, kind: PeerMessageKind, server: Server, found: int = 0, latency_us: int = 0
+    ) -> None:
+        note = PeerMessage(kind, server.tag, len(server.attempts), found, latency_us)
         self._tell(server.tag % self.settings.peers, note)
 
     def _learn_bound(self, book: Book, server: Server, found: int, latency: int) -> None:
@@ -549,7 +553,7 @@
             # A keeper that is gone for good never answers: who waits no more goes.
             waiting = [other for other in self.asking.get(one.tag, ()) if other.choices]
             self.asking[one.tag] = [*waiting, inquiry]
-            self._tell_keeper(NoteKind.ASK, one)
+            self._tell_keeper(PeerMessageKind.ASK, one)
 
     def _choose(self, inquiry: Inquiry, now: int) -> None:
         """The least full of the servers asked about."""
@@ -608,8 +612,8 @@
         """By hand: the list alone speaks for this server again, taken for just started; False: unknown."""
         since, entry = self.left_out.pop(server, None), self.listed.get(server)
         if since is not None and entry is not None:
-            if entry.born_us < since:
-                self.listed[server] = replace(entry, born_us=self.host.now)
+            if entry.started_at_us < since:
+                self.listed[server] = replace(entry, started_at_us=self.host.now)
             self.draw_servers([server])
         return since is not None or entry is not None
 
@@ -630,10 +634,10 @@
             entry, known = self.listed.get(name), old.get(name)
             if entry is None or entry.condition is not Condition.READY or name in self.left_out:
                 continue
-            if known is None or known.entry.born_us < entry.born_us:
+            if known is None or known.entry.started_at_us < entry.started_at_us:
                 # A restart is a new, cold server; a whole attempt of each node at once is too much: half of
                 # one.
-                warm_at = entry.born_us + self.settings.warm_after_us if entry.born_us else 0
+                warm_at = entry.started_at_us + self.settings.warm_up_us if entry.started_at_us else 0
                 known = Server(entry, entry.tag, mean_cap, warm_at, self._chance(), now)
                 known.place = f"0{crc32(f'{self.seed} {name}'.encode()):08x}{name}"
             known.place = f"{entry.zone != self.settings.zone:d}{known.place[1:]}"
@@ -790,7 +794,7 @@
         track = inquiry.state.track
         patient = int(3 * inquiry.state.slow)
         repeatable = (
-            track.effect is not Effect.IRREVERSIBLE and inquiry.attempts + 1 < inquiry.state.max_attempts
+            track.effect is not Effect.NOT_IDEMPOTENT and inquiry.attempts + 1 < inquiry.state.max_attempts
         )
         if repeatable and timeout - patient > inquiry.state.median:
             timeout = patient
@@ -804,7 +808,7 @@
             server.cold_tokens -= 1
         self.host.send(inquiry.name, server.entry.server, timeout)
         if self.may_message:
-            self._tell_keeper(NoteKind.SENT, server)
+            self._tell_keeper(PeerMessageKind.SENT, server)
 
     def _hold(self, inquiry: Inquiry, now: int) -> None:
         """Hold by worth, then by last call: short expected times would go by behind long ones."""
@@ -861,10 +865,13 @@
     def _cold_room(self, server: Server, now: int) -> bool:
         """A budget of attempts for a cold server, by what a warm one usually gets, also in a burst."""
         rules = self.settings
-        warmth = rules.cold_from + (1 - rules.cold_from) * (now - server.entry.born_us) / rules.warm_after_us
+        warmth = (
+            rules.cold_capacity
+            + (1 - rules.cold_capacity) * (now - server.entry.started_at_us) / rules.warm_up_us
+        )
         per_server = min(self.send_rate, self.usual_rate) / max(1, len(self.whole.servers))
-        rate = 0.5 * rules.fall_multiple * warmth * per_server * self.part
-        most = max(1.0, rate * rules.fall_us / 4)
+        rate = 0.5 * rules.crash_multiple * warmth * per_server * self.part
+        most = max(1.0, rate * rules.crash_window_us / 4)
         server.cold_tokens = min(most, server.cold_tokens + (now - server.cold_at) * rate)
         server.cold_at = now
         return server.cold_tokens >= 1
@@ -873,10 +880,10 @@
 
     def _judge(self, attempt: Attempt, outcome: Outcome, latency: int, now: int) -> None:
         server, state = attempt.server, attempt.inquiry.state
-        if outcome is Outcome.WITHDRAWN and now >= attempt.overdue_at:
+        if outcome is Outcome.CANCELLED and now >= attempt.overdue_at:
             # The client left while a silent server held its attempt.
             outcome = Outcome.TIMEOUT
-        if outcome is Outcome.SATISFIED:
+        if outcome is Outcome.SERVED:
             state.learn(latency, True)
             if state.answers == ENOUGH and len(self.whole.servers) == len(self.whole.ranked):
                 # The guess was a sixth of their time: caps would stay low on a wide network.
@@ -887,7 +894,7 @@
             self.served += attempt.inquiry.worth <= self.core_worth
             self._rose()
             # One answer says little, for inquiries differ: in time is a server whose answers of late were.
-            self.pace += 0.1 * (latency / state.track.expected_time_us - self.pace)
+            self.pace += 0.1 * (latency / state.track.latency_target_us - self.pace)
             server.answers += 1
             server.pace += max(0.1, 1 / (server.answers + 2)) * (latency / state.calm - server.pace)
             server.strikes = 0
@@ -897,13 +904,13 @@
             elif server.pace > FAR_LATE and server.cap > 1 and attempt.sent_at > server.halved_at:
                 # Late without failing: what all nodes hold there keeps it slow, also once the burst is over.
                 server.cap, server.halved_at = server.cap - 1, now
-        elif outcome is Outcome.MOOT and attempt.number > 0:
+        elif outcome is Outcome.NOT_STARTED and attempt.number > 0:
             # It never began: what a further attempt costs is given back.
             server.credit = min(4.0, server.credit + 1)
-        elif outcome in (Outcome.SPOILT, Outcome.RESET) and server.fail_share < MOSTLY:
+        elif outcome in (Outcome.MALFORMED, Outcome.RESET) and server.fail_share < MOSTLY:
             # It wrote its answer badly or dropped a connection: no sign of load, unless it does little else.
             server.fail_share += 0.2 * (1 - server.fail_share)
-        elif outcome not in (Outcome.WITHDRAWN, Outcome.MOOT):
+        elif outcome not in (Outcome.CANCELLED, Outcome.NOT_STARTED):
             if outcome is Outcome.TIMEOUT or attempt.inquiry.end - now < 4 * self.margin:
                 # An error at the very end is a time-out too: deeper down the time ran out a little earlier.
                 state.learn(latency, False)
@@ -940,18 +947,18 @@
         """Whether rules and time allow a further attempt."""
         if inquiry.attempts >= inquiry.state.max_attempts or inquiry.end - now < inquiry.state.median:
             return False
-        if inquiry.ran_on is None or inquiry.state.track.effect is Effect.REDOABLE:
+        if inquiry.ran_on is None or inquiry.state.track.effect is Effect.IDEMPOTENT:
             return True
-        return inquiry.state.track.effect is Effect.LABELLED and self._in_window(inquiry, now)
+        return inquiry.state.track.effect is Effect.IDEMPOTENT_BY_KEY and self._in_window(inquiry, now)
 
     def _in_window(self, inquiry: Inquiry, now: int) -> bool:
         """Whether the group that got a labelled inquiry surely remembers it when another attempt arrives."""
-        return now < inquiry.ran_at + inquiry.state.track.window_us - self.margin
+        return now < inquiry.ran_at + inquiry.state.track.dedup_window_us - self.margin
 
     def _in_group(self, inquiry: Inquiry, server: Server) -> bool:
         """Whether a further attempt to this server keeps the rule on effects."""
         first, track = inquiry.ran_on, inquiry.state.track
-        if first is None or track.effect is Effect.REDOABLE:
+        if first is None or track.effect is Effect.IDEMPOTENT:
             return True
         if not self._in_window(inquiry, self.host.now):
             return False
@@ -964,14 +971,14 @@
         track = inquiry.state.track
         harmless = (
             inquiry.ran_on is None
-            or track.effect is Effect.REDOABLE
-            or (track.effect is Effect.LABELLED and track.group is Group.ALL)
+            or track.effect is Effect.IDEMPOTENT
+            or (track.effect is Effect.IDEMPOTENT_BY_KEY and track.group is Group.ALL)
         )
         self._forget(inquiry)
         if self.front and harmless:
-            self.host.defer(inquiry.name, min(pause, self.max_pause))
+            self.host.reject(inquiry.name, min(pause, self.max_pause))
         else:
-            self.host.give_up(inquiry.name)
+            self.host.fail(inquiry.name)
 
     def _forget(self, inquiry: Inquiry) -> None:
         inquiry.over = True
--- a/coraldeal/interface.py
+++ b/coraldeal/interface.py
@@ -1,6 +1,6 @@
-"""Types shared by the decisions and whatever protocol stands before them; nothing here decides.
+"""Types shared by the decisions (coraldeal/balance.py) and the protocol in front of them. No logic.
 
-All times are whole microseconds. Ids are what the protocol in front uses and are never looked into.
+All times are whole microseconds. Ids come from the protocol and are never parsed.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class Effect(enum.Enum):
-    """What a repeat of an inquiry may do."""
+    """Whether an inquiry may be executed more than once."""
 
-    REDOABLE = "redoable"
-    LABELLED = "labelled"
-    IRREVERSIBLE = "irreversible"
+    IDEMPOTENT = "redoable"
+    IDEMPOTENT_BY_KEY = "labelled"
+    NOT_IDEMPOTENT = "irreversible"
 
 
 class Group(enum.Enum):
-    """Which servers drop the repeats of a labelled inquiry."""
+    """Which servers share the idempotency keys they have seen, and so drop a repeat of one."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,26 +33,27 @@
 class Outcome(enum.Enum):
     """How an attempt or a probe ended. `proved_not_run` is filled in below."""
 
-    SATISFIED = "satisfied"
+    SERVED = "satisfied"
     ERROR = "error"
     FULL = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
-    # An answer came that can't be read: the attempt may have run, and nothing says that the server is busy.
-    SPOILT = "spoilt"
-    WITHDRAWN = "withdrawn"
-    MOOT = "moot"
+    # An answer that can't be parsed: the server may have executed the attempt, and nothing shows that it is
+    # overloaded.
+    MALFORMED = "spoilt"
+    CANCELLED = "withdrawn"
+    NOT_STARTED = "moot"
 
     proved_not_run: bool
 
 
 for _outcome in Outcome:
-    _outcome.proved_not_run = _outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+    _outcome.proved_not_run = _outcome in (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_STARTED)
 
 
 class Condition(enum.Enum):
-    """What the list says of a server."""
+    """A server's lifecycle state in the server list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -60,38 +61,40 @@
 
 
 class ListKind(enum.Enum):
-    """How much of the list an event brings."""
+    """Whether an update holds changes, the complete list, or a list known before discovery answered."""
 
     CHANGES = "changes"
-    WHOLE = "whole"
+    SNAPSHOT = "whole"
     REMEMBERED = "remembered"
 
 
 @dataclass(frozen=True, slots=True)
-class Track:
-    """One kind of inquiry."""
+class RequestClass:
+    """The rules for one class of inquiries."""
 
     name: str
     effect: Effect
     group: Group
-    window_us: int
-    expected_time_us: int
-    patience_us: int
-    payoff: float
-    late_payoff: float
-    # The zones and the kinds of server that it may be sent to; empty: any.
+    # How long a server remembers an idempotency key.
+    dedup_window_us: int
+    latency_target_us: int
+    deadline_us: int
+    # What an answer is worth within the latency target, and after it but before the deadline.
+    worth: float
+    late_worth: float
+    # The zones and server kinds that inquiries may be sent to; empty: any.
     zones: tuple[str, ...] = ()
     kinds: tuple[str, ...] = ()
 
     @property
-    def bound_to(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
-        """Tracks that are bound alike go to the same servers."""
+    def placement(self) -> tuple[tuple[str, ...], tuple[str, ...]]:
+        """The permitted zones and kinds. Classes with equal placement use the same servers."""
         return self.zones, self.kinds
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """One customer and its share of the service."""
+    """A customer and its share of the service's capacity."""
 
     name: str
     quota_per_s: float
@@ -99,79 +102,92 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One line of the list of servers. `born_us` is 0 for a server that started long ago."""
+    """A server in the server list. `started_at_us` is 0 for a server that started long ago."""
 
     server: ServerId
     zone: str
     cell: int
     condition: Condition
-    born_us: int
+    started_at_us: int
     size: float = 1.0
     kind: str = ""
 
     @property
     def tag(self) -> int:
-        """How nodes name the server to one another: a checksum of its id, of three bytes."""
+        """A three-byte checksum of the server's id, which names the server in peer messages."""
         return crc32(self.server.encode()) & 0xFFFFFF
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a node is told at its start."""
+    """The settings of one node."""
 
+    # 0 is the layer that clients connect to; higher layers get their inquiries from another balancer.
     layer: int
+    # How many nodes share the servers, and this node's number among them.
     instances: int
     self_index: int
+    # The resolution of the host's timers.
     tick_us: int
     zone: str
-    tracks: list[Track]
+    request_classes: list[RequestClass]
     tenants: list[Tenant]
-    beyond_share_payoff: float
-    list_is_asked: bool
-    ask_every_us: int
+    # The factor applied to the worth of an inquiry whose tenant is beyond its share.
+    beyond_share_worth: float
+    # Whether the node has to request the server list; otherwise discovery pushes it.
+    list_is_pulled: bool
+    pull_interval_us: int
     max_attempts: int
-    may_withdraw: bool
-    may_advise_pause: bool
-    max_pause_us: int
-    cold_from: float
-    warm_after_us: int
-    fall_multiple: float
-    fall_us: int
+    may_cancel: bool
+    # Whether a rejection may carry Retry-After, and its longest value.
+    may_send_retry_after: bool
+    max_retry_after_us: int
+    # A server that has just started can do this fraction of its full rate, which grows linearly to 1 over the
+    # warm-up time.
+    cold_capacity: float
+    warm_up_us: int
+    # A cold server crashes when it receives clearly more than this multiple of its current rate within the
+    # window.
+    crash_multiple: float
+    crash_window_us: int
     report_fields: list[str] = field(default_factory=list)
-    # How many nodes may send each other notes (under 2: none), and which of them this one is.
+    # How many nodes exchange peer messages (below 2: none), and this node's number among them.
     peers: int = 0
     peer_index: int = 0
 
 
-class NoteKind(enum.Enum):
-    """What one node tells another of a server."""
+class PeerMessageKind(enum.Enum):
+    """What one node tells or asks another about a server."""
 
-    # How full is it? / so full / so many attempts of mine are there now / one of mine has ended.
+    # A query for the server's in-flight count.
     ASK = 1
+    # The reply to a query.
     ANSWER = 2
+    # The sender has started an attempt at the server.
     SENT = 3
+    # An attempt of the sender at the server has ended.
     ENDED = 4
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """A short message between nodes. It may be lost or late, or come from a node that has just begun."""
+class PeerMessage:
+    """A message between nodes about one server. It may be lost or late; its sender may have just started."""
 
-    kind: NoteKind
-    # Which server, see `Entry.tag`.
+    kind: PeerMessageKind
+    # The server, see `Entry.tag`.
     tag: int
-    # Attempts there: the sender's own, in an answer those of all nodes but the asker.
+    # Attempts in flight at the server: the sender's own; in a reply, those of all nodes but the recipient.
     attempts: int
-    # Of an ended attempt that was satisfied: how many attempts it found there, itself included (0: not
-    # known).
-    found: int = 0
+    # For a served attempt that ended: how many attempts were in flight at the server when it was sent, itself
+    # included (0: unknown).
+    in_flight_at_start: int = 0
     latency_us: int = 0
-    # In an answer: how many attempts a server of mean size takes, as far as the sender has learned.
-    bound: float = 0.0
+    # In a reply: the sender's estimate of the attempts of all nodes that a server of mean size can take.
+    global_limit: float = 0.0
 
 
 class Host(Protocol):
-    """All that the decisions may do to the world outside. `now` is the clock, in microseconds."""
+    """Everything the decisions may do outside themselves. `now` is the clock, in microseconds."""
 
     @property
     def now(self) -> int: ...
@@ -179,23 +195,23 @@
     def send(self, inquiry: InquiryId, server: ServerId, timeout_us: int) -> None:
         """Start the next attempt of an inquiry."""
 
-    def defer(self, inquiry: InquiryId, pause_us: int) -> None:
-        """Final answer: not now; asking again does no harm, best after the pause (0: no advice)."""
+    def reject(self, inquiry: InquiryId, retry_after_us: int) -> None:
+        """Answer the inquiry as rejected; a retry is safe, at best after `retry_after_us` (0: no advice)."""
 
-    def give_up(self, inquiry: InquiryId) -> None:
-        """Final answer: failed; promises nothing about the effect."""
+    def fail(self, inquiry: InquiryId) -> None:
+        """Answer the inquiry as failed; it may or may not have been executed."""
 
-    def withdraw(self, inquiry: InquiryId, attempt: int) -> None:
-        """Stop waiting for an attempt; its end is still told."""
+    def cancel(self, inquiry: InquiryId, attempt: int) -> None:
+        """Cancel an attempt. Its end is still reported through `attempt_ended`."""
 
-    def tell(self, peer: int, note: Note) -> None:
-        """Send a short message to another node, by its number; it may come late or never."""
+    def send_to_peer(self, peer: int, message: PeerMessage) -> None:
+        """Send a message to the node with this number; it may arrive late or never."""
 
     def wake(self, token: str, after_us: int) -> None:
-        """Have `alarm(token)` called after this time."""
+        """Schedule a call of `alarm(token)` after this time."""
 
     def follow_list(self) -> None:
-        """Ask for the changes of the list from here on."""
+        """Request the server list and its further changes from discovery."""
 
     def log(self, text: str) -> None:
-        """One line for on-call staff."""
+        """Write one log line for operators."""
--- a/coraldeal/starts.py
+++ b/coraldeal/starts.py
@@ -23,7 +23,7 @@
     """One start of a server: as the list words it (None: not told yet), and when it was by the own clock."""
 
     told_ms: int | None
-    born_us: int
+    started_at_us: int
 
 
 class Starts:
@@ -36,11 +36,11 @@
     def place(self, entries: Iterable[Entry], told_ms: Mapping[ServerId, int], now_us: int) -> list[Entry]:
         """The entries of a list with their starts by this node's clock.
 
-        Each comes with its start as the wall clock has it now (`born_us`, 0 for long ago). `told_ms` is the
+        Each comes with its start as the wall clock has it now (`started_at_us`, 0 for long ago). `told_ms` is the
         list's own word; a server that it leaves out was not told of by discovery but by this node before.
         """
         entries = list(entries)
-        newest = max((entry.born_us for entry in entries), default=0)
+        newest = max((entry.started_at_us for entry in entries), default=0)
         # A start can't lie ahead: where one does, the wall clock is behind by so much at the least.
         behind_us = max(0, newest - now_us)
         placed = [self._placed(entry, told_ms.get(entry.server), behind_us, now_us) for entry in entries]
@@ -52,14 +52,18 @@
     def _placed(self, entry: Entry, told_ms: int | None, behind_us: int, now_us: int) -> Entry:
         known = self.known.pop(entry.server, None)
         if told_ms is None:
-            start = Start(known.told_ms if known else None, entry.born_us)
+            start = Start(known.told_ms if known else None, entry.started_at_us)
         elif known is not None and known.told_ms in (None, told_ms):
-            start = Start(told_ms, known.born_us)
+            start = Start(told_ms, known.started_at_us)
         elif told_ms == 0:
             start = Start(0, 0)
         elif self.has_list:
             start = Start(told_ms, now_us)
         else:
-            start = Start(told_ms, max(1, entry.born_us - behind_us))
+            start = Start(told_ms, max(1, entry.started_at_us - behind_us))
         self.known[entry.server] = start
-        return entry if entry.born_us == start.born_us else replace(entry, born_us=start.born_us)
+        return (
+            entry
+            if entry.started_at_us == start.started_at_us
+            else replace(entry, started_at_us=start.started_at_us)
+        )
--- a/tests/test_bucket.py
+++ b/tests/test_bucket.py
@@ -14,8 +14,8 @@
         """Which part of 400 inquiries is deferred, one each 50 ms; every so many sent fails at once."""
         scene = Scene()
         scene.do_given("max_attempts", "1")
-        for name, payoff in (("gold", "9"), ("look", "1")):
-            scene.do_track(name, "redoable", expected="1s", patience="2s", payoff=payoff)
+        for name, worth in (("gold", "9"), ("look", "1")):
+            scene.do_track(name, "redoable", expected="1s", patience="2s", worth=worth)
         scene.do_servers("a", "b", "c", "d")
         scene.do_learn("look", rounds="40", **{"a,b,c,d": "200ms"})
         deferred = sent = 0
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,8 +1,8 @@
 """What all nodes together send to servers that have just started, under a made-up clock.
 
 The bound is the standing test's: a cold server falls with more than N + 2 x root of N + 2 attempts within
-`fall_us`, N being `fall_multiple` x what it can do by then x `fall_us`. It can do `cold_from` of a warm one's
-work at its start and the whole after `warm_after_us`, evenly in between. What a warm one can do nobody is
+`crash_window_us`, N being `crash_multiple` x what it can do by then x `crash_window_us`. It can do `cold_capacity` of a warm one's
+work at its start and the whole after `warm_up_us`, evenly in between. What a warm one can do nobody is
 told: what each server gets on average before the burst stands for it here, the least that it can be.
 """
 
@@ -23,15 +23,15 @@
     Entry,
     Group,
     ListKind,
-    Note,
     Outcome,
+    PeerMessage,
+    RequestClass,
     Settings,
-    Track,
 )
 
 TRACKS = [
-    Track("worth", Effect.REDOABLE, Group.ALL, 0, 700_000, 1_500_000, 10.0, 0.0),
-    Track("usual", Effect.REDOABLE, Group.ALL, 0, 700_000, 1_500_000, 2.0, 0.0),
+    RequestClass("worth", Effect.IDEMPOTENT, Group.ALL, 0, 700_000, 1_500_000, 10.0, 0.0),
+    RequestClass("usual", Effect.IDEMPOTENT, Group.ALL, 0, 700_000, 1_500_000, 2.0, 0.0),
 ]
 
 
@@ -48,10 +48,10 @@
     cold: float = 0.2
     fresh: float = 0.3
     failing: float = 0.125
-    cold_from: float = 0.25
-    fall_multiple: float = 2.5
-    fall_us: int = SECOND
-    warm_after_us: int = 8 * SECOND
+    cold_capacity: float = 0.25
+    crash_multiple: float = 2.5
+    crash_window_us: int = SECOND
+    warm_up_us: int = 8 * SECOND
     # Nodes that may send messages keep books.
     peers: bool = False
     # For how long the servers that come back were out of the list, so that others were fuller.
@@ -80,18 +80,18 @@
         attempt = self.attempts[inquiry] = self.attempts.get(inquiry, -1) + 1
         self.fleet.sent(self, inquiry, attempt, server, timeout_us)
 
-    def defer(self, inquiry: int, pause_us: int) -> None:
+    def reject(self, inquiry: int, retry_after_us: int) -> None:
         self.attempts.pop(inquiry, None)
 
-    def give_up(self, inquiry: int) -> None:
+    def fail(self, inquiry: int) -> None:
         self.attempts.pop(inquiry, None)
 
-    def withdraw(self, inquiry: int, attempt: int) -> None:
+    def cancel(self, inquiry: int, attempt: int) -> None:
         pass
 
-    def tell(self, peer: int, note: Note) -> None:
+    def send_to_peer(self, peer: int, message: PeerMessage) -> None:
         fleet = self.fleet
-        fleet.at(fleet.now + 2_000, fleet.note, peer, self.index, note)
+        fleet.at(fleet.now + 2_000, fleet.note, peer, self.index, message)
 
     def wake(self, token: str, after_us: int) -> None:
         self.fleet.at(self.fleet.now + max(1, after_us), self.alarm, self.epoch, token)
@@ -154,12 +154,12 @@
     def begin(self, host: NodeHost) -> None:
         day = self.day
         settings = Settings(
-            layer=0, instances=day.nodes, self_index=host.index, tick_us=1_000, zone="z", tracks=TRACKS,
-            tenants=[], beyond_share_payoff=0.05, list_is_asked=False, ask_every_us=10 * SECOND,
+            layer=0, instances=day.nodes, self_index=host.index, tick_us=1_000, zone="z", request_classes=TRACKS,
+            tenants=[], beyond_share_worth=0.05, list_is_pulled=False, pull_interval_us=10 * SECOND,
             max_attempts=3,
-            may_withdraw=True, may_advise_pause=True, max_pause_us=SECOND, cold_from=day.cold_from,
-            warm_after_us=day.warm_after_us, fall_multiple=day.fall_multiple * day.budgets,
-            fall_us=day.fall_us, peers=day.nodes if day.peers else 0, peer_index=host.index,
+            may_cancel=True, may_send_retry_after=True, max_retry_after_us=SECOND, cold_capacity=day.cold_capacity,
+            warm_up_us=day.warm_up_us, crash_multiple=day.crash_multiple * day.budgets,
+            crash_window_us=day.crash_window_us, peers=day.nodes if day.peers else 0, peer_index=host.index,
         )  # fmt: skip
         host.epoch += 1
         host.attempts = {}
@@ -177,12 +177,12 @@
 
     def tell(self, condition: Condition, born: int) -> None:
         for name in self.cold:
-            self.entries[name] = replace(self.entries[name], condition=condition, born_us=born)
+            self.entries[name] = replace(self.entries[name], condition=condition, started_at_us=born)
         changed = [self.entries[name] for name in self.cold]
         for host in self.hosts:
             host.balancer.servers_listed(ListKind.CHANGES, changed)
 
-    def note(self, peer: int, sender: int, note: Note) -> None:
+    def note(self, peer: int, sender: int, note: PeerMessage) -> None:
         self.hosts[peer].balancer.note_came(sender, note)
 
     def arrival(self) -> None:
@@ -195,12 +195,12 @@
         self.names += 1
         self.asked += 1
         track = TRACKS[self.chance() < 0.8]
-        host.balancer.inquiry_arrived(self.names, track.name, None, track.patience_us, False)
+        host.balancer.inquiry_arrived(self.names, track.name, None, track.deadline_us, False)
 
     def warmth(self, name: str, now: int) -> float:
-        born = self.entries[name].born_us
-        age = (now - born) / self.day.warm_after_us if born else 1.0
-        return min(1.0, self.day.cold_from + (1 - self.day.cold_from) * age)
+        born = self.entries[name].started_at_us
+        age = (now - born) / self.day.warm_up_us if born else 1.0
+        return min(1.0, self.day.cold_capacity + (1 - self.day.cold_capacity) * age)
 
     def sent(self, host: NodeHost, inquiry: int, attempt: int, name: str, timeout: int) -> None:
         """A server does its attempts one by one; warm, it can do half as much again as usually comes."""
@@ -212,7 +212,7 @@
         work = -log(self.chance()) * min(SECOND / (1.5 * self.day.rate), SECOND / 10) / self.warmth(name, now)
         self.free_at[name] = max(now, self.free_at[name]) + int(min(work, SECOND))
         done = self.free_at[name] + 20_000
-        outcome = Outcome.SATISFIED if done <= now + timeout else Outcome.TIMEOUT
+        outcome = Outcome.SERVED if done <= now + timeout else Outcome.TIMEOUT
         self.at(min(done, now + timeout), self.ended, host, host.epoch, inquiry, attempt, outcome, now)
 
     def ended(
@@ -220,7 +220,7 @@
     ) -> None:
         if epoch != host.epoch:
             return
-        over = outcome is Outcome.SATISFIED
+        over = outcome is Outcome.SERVED
         self.served += over
         if over:
             host.attempts.pop(inquiry, None)
@@ -229,8 +229,8 @@
     # What it came to.
 
     def is_cold(self, name: str, at: int) -> bool:
-        born = self.entries[name].born_us
-        return born <= at < born + self.day.warm_after_us
+        born = self.entries[name].started_at_us
+        return born <= at < born + self.day.warm_up_us
 
     def worst(self) -> tuple[float, int, float]:
         """The fullest window of a cold server: its part of the bound, its attempts and N."""
@@ -241,9 +241,9 @@
                 if not self.is_cold(name, at):
                     continue
                 window.append(at)
-                while window[0] <= at - day.fall_us:
+                while window[0] <= at - day.crash_window_us:
                     window.popleft()
-                n = day.fall_multiple * self.warmth(name, at) * day.rate * day.fall_us / SECOND
+                n = day.crash_multiple * self.warmth(name, at) * day.rate * day.crash_window_us / SECOND
                 worst = max(worst, (len(window) / (n + 2 * sqrt(n) + 2), len(window), n))
         return worst
 
@@ -258,8 +258,8 @@
     "many servers": (Day(nodes=20, servers=60, rate=1.5, burst=2.0), 2),
     "half of them cold, all nodes fresh": (Day(rate=1.0, burst=2.0, cold=0.5, fresh=1.0), 3),
     "failing": (Day(rate=1.5, burst=2.0, failing=0.4), 3),
-    "a long window": (Day(burst=3.0, fall_us=3 * SECOND, warm_after_us=16 * SECOND, end=30 * SECOND), 3),
-    "a long way": (Day(cold_from=0.12, warm_after_us=20 * SECOND, end=32 * SECOND, burst=2.0), 1),
+    "a long window": (Day(burst=3.0, crash_window_us=3 * SECOND, warm_up_us=16 * SECOND, end=30 * SECOND), 3),
+    "a long way": (Day(cold_capacity=0.12, warm_up_us=20 * SECOND, end=32 * SECOND, burst=2.0), 1),
     "books": (Day(rate=2.0, burst=2.0, peers=True), 1),
 }
 # Two hundred nodes, whose budgets are less than an attempt each: on this seed one that followed the burst's
@@ -283,8 +283,8 @@
                     self.assertLessEqual(part, 1.0, f"{attempts} trips, N {n:.1f}")
                     # Nor are they left alone: they get a fair part of what they can do while they warm up.
                     sent = sum(len([at for at in fleet.came[s] if fleet.is_cold(s, at)]) for s in fleet.cold)
-                    seconds = day.warm_after_us / SECOND
-                    could = day.rate * seconds * (1 + day.cold_from) / 2 * len(fleet.cold)
+                    seconds = day.warm_up_us / SECOND
+                    could = day.rate * seconds * (1 + day.cold_capacity) / 2 * len(fleet.cold)
                     self.assertGreater(sent, 0.35 * could)
 
     def test_a_budget_follows_no_burst(self) -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -140,10 +140,10 @@
         await self.attempt()
         await asyncio.sleep(0.035)
         # 35 ms old: under the 50 ms at which closes were seen, over half of that.
-        self.assertIs(await self.attempt(careful=True), Outcome.SATISFIED)
+        self.assertIs(await self.attempt(careful=True), Outcome.SERVED)
         self.assertEqual(self.server.opened, 2)
         await asyncio.sleep(0.02)
-        self.assertIs(await self.attempt(), Outcome.SATISFIED)
+        self.assertIs(await self.attempt(), Outcome.SERVED)
         self.assertEqual(self.server.opened, 2)
 
     async def test_a_close_or_bytes_that_came_and_were_not_read_are_seen_before_the_write(self) -> None:
@@ -159,7 +159,7 @@
         ]
         for end in ends:
             self.server.play = close
-            self.assertIs(await self.attempt(), Outcome.SATISFIED)
+            self.assertIs(await self.attempt(), Outcome.SERVED)
             (connection,) = self.servers.targets["s"].idle
             await asyncio.sleep(0.015)
             assert connection.transport is not None
@@ -168,7 +168,7 @@
             end(self.ending)
             await asyncio.sleep(0.005)
             self.assertTrue(has_unread(connection.transport))
-            self.assertIs(await self.attempt(), Outcome.SATISFIED)
+            self.assertIs(await self.attempt(), Outcome.SERVED)
             for left in list(self.servers.targets["s"].idle):
                 left.drop()
 
@@ -180,7 +180,7 @@
 
         self.server.play = close
         for number in range(12):
-            self.assertIs(await self.attempt(), Outcome.SATISFIED)
+            self.assertIs(await self.attempt(), Outcome.SERVED)
             await until(lambda number=number: self.server.closed == number + 1)  # type: ignore[misc]
             await until(lambda: not self.servers.targets["s"].idle)
         rests = self.servers.targets["s"].rests
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 from coraldeal.balance import COMPANY, WIDTH_ASKED, Balancer, Rotation, Server
-from coraldeal.interface import Condition, Effect, Entry, Group, ListKind, Settings, Track
+from coraldeal.interface import Condition, Effect, Entry, Group, ListKind, RequestClass, Settings
 
 SECOND = 1_000_000
 ZONES = ("z0", "z1", "z2")
@@ -28,9 +28,9 @@
         return lambda *_, **__: None
 
 
-def track(name: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()) -> Track:
+def track(name: str, zones: tuple[str, ...] = (), kinds: tuple[str, ...] = ()) -> RequestClass:
     bound = {"zones": zones, "kinds": kinds}
-    return Track(name, Effect.REDOABLE, Group.ALL, 0, SECOND, 2 * SECOND, 1.0, 0.0, **bound)
+    return RequestClass(name, Effect.IDEMPOTENT, Group.ALL, 0, SECOND, 2 * SECOND, 1.0, 0.0, **bound)
 
 
 def settings(instances: int, peers: int = 0, zone: str = "z0", bound: bool = False) -> Settings:
@@ -43,19 +43,19 @@
         self_index=instances // 3,
         tick_us=1_000,
         zone=zone,
-        tracks=tracks,
+        request_classes=tracks,
         tenants=[],
-        beyond_share_payoff=0.05,
-        list_is_asked=False,
-        ask_every_us=10 * SECOND,
+        beyond_share_worth=0.05,
+        list_is_pulled=False,
+        pull_interval_us=10 * SECOND,
         max_attempts=3,
-        may_withdraw=True,
-        may_advise_pause=True,
-        max_pause_us=SECOND,
-        cold_from=0.25,
-        warm_after_us=8 * SECOND,
-        fall_multiple=2.0,
-        fall_us=SECOND,
+        may_cancel=True,
+        may_send_retry_after=True,
+        max_retry_after_us=SECOND,
+        cold_capacity=0.25,
+        warm_up_us=8 * SECOND,
+        crash_multiple=2.0,
+        crash_window_us=SECOND,
         peers=peers,
     )
 
@@ -116,7 +116,7 @@
         }
         self.assertEqual({name: server.entry for name, server in balancer.servers.items()}, ready)
         for name, server in balancer.servers.items():
-            if name in known and known[name].entry.born_us >= server.entry.born_us:
+            if name in known and known[name].entry.started_at_us >= server.entry.started_at_us:
                 self.assertIs(server, known[name], "what was learned of a server stays")
         if balancer.may_message:
             if ready:
@@ -152,7 +152,7 @@
                 balancer.servers_listed(ListKind.CHANGES, told)
             elif act == 6:
                 told = [self.entry(draw, most) for _ in range(draw.randrange(2 * most))]
-                balancer.servers_listed(draw.choice((ListKind.WHOLE, ListKind.REMEMBERED)), told)
+                balancer.servers_listed(draw.choice((ListKind.SNAPSHOT, ListKind.REMEMBERED)), told)
             elif act == 7:
                 balancer.leave_out(f"server-{draw.randrange(most)}", sure=draw.random() < 0.3)
             elif act == 8:
@@ -178,11 +178,11 @@
     def test_chance_is_drawn_in_the_lists_order(self) -> None:
         """Cold servers have part of an attempt by chance; the list's order decides, not the changes'."""
         entries = [Entry(f"server-{i}", "z0", 0, Condition.READY, 0) for i in range(5)]
-        again = [replace(entries[i], born_us=self.host.now) for i in (4, 1)] + [
+        again = [replace(entries[i], started_at_us=self.host.now) for i in (4, 1)] + [
             Entry("new", "z0", 0, Condition.READY, self.host.now)
         ]
         balancer = Balancer(self.host, settings(1), 1)
-        balancer.servers_listed(ListKind.WHOLE, entries)
+        balancer.servers_listed(ListKind.SNAPSHOT, entries)
         draws = balancer.draws
         balancer.servers_listed(ListKind.CHANGES, again[::-1])
         drawn = [crc32(f"1 {draws + i}".encode()) / 2**32 for i in (1, 2, 3)]
@@ -193,7 +193,7 @@
         """Lines and calls that a drain among so many servers takes; comprehensions count for each turn."""
         balancer = Balancer(self.host, settings(instances=count, zone="z0"), 1)
         entries = [Entry(f"server-{i}", f"z{i // 20}", 0, Condition.READY, 0) for i in range(count)]
-        balancer.servers_listed(ListKind.WHOLE, entries)
+        balancer.servers_listed(ListKind.SNAPSHOT, entries)
         steps = 0
 
         def step(frame: FrameType, event: str, arg: Any) -> Any:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -15,12 +15,12 @@
     Entry,
     Group,
     ListKind,
-    Note,
-    NoteKind,
     Outcome,
+    PeerMessage,
+    PeerMessageKind,
+    RequestClass,
     Settings,
     Tenant,
-    Track,
 )
 
 HERE = Path(__file__).parent
@@ -31,20 +31,20 @@
     "self_index": 0,
     "tick": "1ms",
     "zone": "z",
-    "beyond_share_payoff": 0.05,
-    "list_is_asked": False,
-    "ask_every": "10s",
+    "beyond_share_worth": 0.05,
+    "list_is_pulled": False,
+    "pull_interval": "10s",
     "max_attempts": 3,
-    "may_withdraw": True,
-    "may_advise_pause": True,
-    "max_pause": "1s",
+    "may_cancel": True,
+    "may_send_retry_after": True,
+    "max_retry_after": "1s",
     "report_fields": [],
     "peers": 0,
     "peer_index": 0,
-    "cold_from": 0.25,
-    "warm_after": "8s",
-    "fall_multiple": 2.0,
-    "fall": "1s",
+    "cold_capacity": 0.25,
+    "warm_up": "8s",
+    "crash_multiple": 2.0,
+    "crash_window": "1s",
 }
 
 
@@ -65,7 +65,7 @@
     def __init__(self) -> None:
         self.now = 1_000_000_000
         self.given = dict(DEFAULTS)
-        self.tracks: list[Track] = []
+        self.tracks: list[RequestClass] = []
         self.tenants: list[Tenant] = []
         self.entries: list[Entry] = []
         self.acts: list[tuple[str, ...]] = []
@@ -84,18 +84,18 @@
         )
         self.acts.append(("send", str(inquiry), server))
 
-    def defer(self, inquiry: int, pause_us: int) -> None:
+    def reject(self, inquiry: int, retry_after_us: int) -> None:
         self.acts.append(("defer", str(inquiry)))
 
-    def give_up(self, inquiry: int) -> None:
+    def fail(self, inquiry: int) -> None:
         self.acts.append(("give-up", str(inquiry)))
 
-    def withdraw(self, inquiry: int, attempt: int) -> None:
+    def cancel(self, inquiry: int, attempt: int) -> None:
         self.acts.append(("withdraw", str(inquiry)))
 
-    def tell(self, peer: int, note: Note) -> None:
+    def send_to_peer(self, peer: int, message: PeerMessage) -> None:
         names = {entry.tag: entry.server for entry in self.entries}
-        self.acts.append((note.kind.name.lower(), names[note.tag], str(note.attempts)))
+        self.acts.append((message.kind.name.lower(), names[message.tag], str(message.attempts)))
 
     def wake(self, token: str, after_us: int) -> None:
         assert after_us >= 0, "a wake in the past"
@@ -112,7 +112,7 @@
     def settings(self) -> Settings:
         values = {k + "_us" if isinstance(v, str) and k != "zone" else k: v for k, v in self.given.items()}
         values = {k: micros(v) if k.endswith("_us") else v for k, v in values.items()}
-        return Settings(tracks=self.tracks, tenants=self.tenants, **values)
+        return Settings(request_classes=self.tracks, tenants=self.tenants, **values)
 
     def started(self) -> Balancer:
         if self.balancer is None:
@@ -129,7 +129,7 @@
 
     def do_track(self, name: str, effect: str, **o: str) -> None:
         self.tracks.append(
-            Track(
+            RequestClass(
                 name,
                 Effect(effect),
                 Group(o.get("group", "all")),
@@ -182,7 +182,7 @@
 
     def do_inquiry(self, name: str, track: str, *flags: str, **o: str) -> None:
         left = (
-            micros(o["left"]) if "left" in o else next(t.patience_us for t in self.tracks if t.name == track)
+            micros(o["left"]) if "left" in o else next(t.deadline_us for t in self.tracks if t.name == track)
         )
         for number in numbers(name):
             self.started().inquiry_arrived(number, track, o.get("tenant"), left, "repeat" in flags)
@@ -195,8 +195,8 @@
 
     def do_note(self, peer: str, kind: str, server: str, **o: str) -> None:
         """Another node's note about a server; in an answer the bound is 4 unless it is told."""
-        note = Note(
-            NoteKind[kind.upper()],
+        note = PeerMessage(
+            PeerMessageKind[kind.upper()],
             self.entry(server, "ready", {}).tag,
             int(o.get("trips", 0)),
             int(o.get("found", 0)),
--- a/tests/test_starts.py
+++ b/tests/test_starts.py
@@ -34,7 +34,7 @@
             Entry(name, "z", 0, Condition.READY, 0 if at is None else max(1, at - self.wrong_by))
             for name, at in started_at.items()
         ]
-        return {entry.server: entry.born_us for entry in self.starts.place(entries, told_ms, self.now)}
+        return {entry.server: entry.started_at_us for entry in self.starts.place(entries, told_ms, self.now)}
 
 
 class SeenStarts(unittest.TestCase):
@@ -93,7 +93,7 @@
         born = NOW - 3 * SECOND
         starts.place([Entry("s", "z", 0, Condition.READY, born)], {}, NOW)
         again = [Entry("s", "z", 0, Condition.READY, NOW - HOUR)]
-        self.assertEqual(starts.place(again, {"s": UNIX_MS}, NOW)[0].born_us, born)
+        self.assertEqual(starts.place(again, {"s": UNIX_MS}, NOW)[0].started_at_us, born)
 
     def test_servers_that_left_are_not_kept_for_good(self) -> None:
         wall = Wall()
