--- a/coraldeal/balance.py
+++ b/coraldeal/balance.py
@@ -1,24 +1,25 @@
-"""All decisions of coraldeal: which inquiries are let in, which server gets an attempt, what ends an inquiry.
+"""All decisions of coraldeal: admission of inquiries, choice of servers, retries and final answers.
 
-How it is called: a protocol in front makes one `Balancer` for each node and calls one method for each thing
-that happens (`inquiry_arrived`, `attempt_ended`, `servers_listed`, ...). The balancer acts by calling the
-`Host` it was handed. Both sides of that border are in coraldeal/interface.py; nothing else goes in or out.
+The protocol in front creates one `Balancer` per node and calls one method for each event (`inquiry_arrived`,
+`attempt_ended`, `servers_listed`, ...). The balancer acts only by calling the `Host` that it was given. Both
+interfaces are in coraldeal/interface.py; there is no other input or output.
 
-The design (docs/design.md): core tracks pass unmetered; any other inquiry takes a token in a short wait or
-is dropped; it is then held until the next server of the rotation is under its learned cap.
+The design (docs/design.md): inquiries of core classes, those worth more than the mean, are admitted without a
+limit. Any other inquiry takes a token from a token bucket within a short wait or is dropped. An admitted
+inquiry is queued until the next server in turn is below its learned concurrency limit.
 
 Mechanisms beside the design, six at most:
-1. rest: a server that does badly at a cap of one, worse than the fleet's median, or whose oldest attempt is
-   overdue, is passed over for a while;
-2. credit: a further attempt goes only to a server whose answers earned it; attempt time-outs come from
-answers;
-3. shares: what a tenant sends beyond its part of what a node sees is worth less and comes last;
-4. cold budget: a server that has just started gets attempts at a rate within the rule;
-5. part of the tier: with many nodes each rotates over a few servers, so that caps bind; while all goes well
-   the servers of the node's own zone come first;
-6. books: where nodes may send messages, one of them keeps the book of each server: how many attempts of all
-   nodes are there. Before an attempt the next few of the rotation are asked for; the least full under its
-   bound gets it, and who found none is told of the next free place.
+1. outlier ejection: a server that fails at a concurrency limit of one, more often than the median of all
+   servers, gets no attempts for a while; nor does one whose oldest attempt is overdue;
+2. retry budget: a retry goes only to a server whose answers have earned it; timeouts of attempts follow the
+   latencies of answers;
+3. tenant shares: what a tenant sends beyond its share of the traffic at a node is worth less and comes last;
+4. slow start: a server that has just started gets attempts at a limited rate;
+5. subsets: with many nodes each node uses only a few servers, so that concurrency limits take effect; while
+   the node is unloaded, servers of its own zone come first;
+6. in-flight counts: where nodes may exchange messages, one node owns the count of each server's attempts from
+   all nodes. Before an attempt the next few servers in turn are queried. The least loaded one below its
+   global limit gets it, and a node that found no room is notified of the next free place.
 """
 
 from __future__ import annotations
@@ -46,194 +47,221 @@
 )
 
 SECOND = 1_000_000
-SWEEP = SECOND // 4
-# What counts as in time, as a multiple of the mean when all is well.
-IN_TIME = 1.5
-# From what multiple of it on answers are so late that fewer attempts are to wait there: twice what is in
-# time.
-FAR_LATE = 2 * IN_TIME
-# Up to what part of their time answers may take while a node is calm.
-CALM = 0.5
-# How many times the fleet's median pace marks a server that gives up turns.
-SLOWER = 1.2
-# Up to what mean cap a node's caps are low.
-LOW_CAPS = 2.5
-# From what part of its attempts on a server is taken to fail, whatever its failures look like.
-MOSTLY = 0.5
-# Over how long the first calls for the list are spread: one that fails 3 s later leaves time for another
-# within the 6 s after which a change counts as told.
+SWEEP_INTERVAL = SECOND // 4
+# A latency ratio is a server's latency divided by the baseline of the class. Up to this one answers are in
+# time, and a limit that was used up may rise.
+IN_TIME_RATIO = 1.5
+# Above this latency ratio answers are so late that the limit falls: twice what is in time.
+FAR_LATE_RATIO = 2 * IN_TIME_RATIO
+# A node is unloaded while its answers take up to this fraction of the latency target.
+UNLOADED_TARGET_RATIO = 0.5
+# A server slower than this multiple of the median latency ratio gives up some of its turns.
+SLOW_SERVER_RATIO = 1.2
+# A node's concurrency limits count as low up to this mean.
+LOW_MEAN_LIMIT = 2.5
+# From this failure rate on a server mostly fails, and even resets and malformed answers lower its limit.
+MOSTLY_FAILING = 0.5
+# The spread of the nodes' first list calls, in microseconds: a call that fails after 3 s leaves time for
+# another within the 6 s by which nodes have to know a change.
 FIRST_CALL_SPREAD = 3 * SECOND // 2
-# The longest rest.
-REST_MOST = 16 * SECOND
-# The largest step of the bucket's rate, and how many times as large its steps up are while a node is calm.
-RISE_MOST = 0.05
-CALM_RISE = 4
-# The part of what is served that is let in whatever fails.
-SERVED_PART = 0.8
-# The part of the bucket that traffic beyond a share may not use.
-RESERVE = 0.75
-# In the rotations of how many nodes a server should be.
-COMPANY = 4
-# What a tenant may leave unused of its share at one node and send later, in inquiries, at the least.
-SHARE_DEPTH = 4.0
-# Answers that make a mean worth something.
-ENOUGH = 20
-# The part of their mean that is taken for calm at first.
-FIRST_PART = 0.6
-# How many servers of the rotation are asked about before an attempt, and how many it has there at the least.
-ASKED, WIDTH_ASKED = 3, 5
-# How many attempts of all nodes servers take at first and at the least, and how far that moves with an
+# The longest ejection, in microseconds.
+MAX_EJECTION = 16 * SECOND
+# The largest relative step of the token rate, and the factor on steps up while the node is unloaded.
+MAX_RATE_STEP = 0.05
+UNLOADED_STEP_FACTOR = 4
+# This fraction of what is served is admitted, whatever fails.
+SERVED_FRACTION = 0.8
+# The fraction of the bucket that traffic beyond a tenant's share may not use.
+RESERVED_FRACTION = 0.75
+# How many nodes should have a server in their subsets.
+NODES_PER_SERVER = 4
+# What a tenant may save up of its share at one node, in inquiries; larger shares save up one second's worth.
+MIN_SHARE_BURST = 4.0
+# After this many answers a mean latency is meaningful.
+ENOUGH_ANSWERS = 20
+# The first baseline latency, as a fraction of the mean of the first answers.
+FIRST_BASELINE_FRACTION = 0.6
+# How many servers are queried before an attempt, and the smallest subset of a node that queries.
+MAX_CANDIDATES, MIN_QUERIED_SUBSET = 3, 5
+# The limit on the attempts of all nodes at a server: its start, its minimum, and the relative step per
 # answer.
-BOUND_START, BOUND_LEAST, BOUND_STEP = 4.0, 2.0, 0.02
-# How far a node's bound goes towards one that it is told of, and from what part of it a server is full.
-AGREE, NEARLY = 0.1, 0.75
-# The part of a server that is open to what pays least, and how many wait at most for a free place there.
-LEAST_ROOM, WAITING_MOST = 0.5, 64
-# An answer is waited for no longer: two ways between far halls. What was told holds four times as long.
-ASK_WAIT = 80_000
+GLOBAL_LIMIT_START, MIN_GLOBAL_LIMIT, GLOBAL_LIMIT_STEP = 4.0, 2.0, 0.02
+# How far a node's global limit moves towards one in a reply, and the fraction of it from which a server
+# counts as fully loaded.
+LIMIT_AGREEMENT, FULLY_LOADED = 0.1, 0.75
+# The fraction of a server's global limit that is open to the least valuable inquiries, and how many nodes may
+# wait for a free place at a server.
+MIN_ROOM, MAX_WAITING_NODES = 0.5, 64
+# The longest wait for replies to a query, in microseconds: a round trip between distant zones. A reply stays
+# valid four times as long.
+QUERY_TIMEOUT = 80_000
 
 
 class RequestClassState:
-    """What is learned of a track, for the life of the instance."""
-
-    __slots__ = ("answers", "calm", "max_attempts", "mean", "median", "slow", "track")
-
-    def __init__(self, track: RequestClass, max_attempts: int) -> None:
-        # An inquiry keeps this object, and so the rules that it came with, when the settings change.
-        self.track = track
+    """A request class and what the node has learned about its latencies."""
+
+    __slots__ = (
+        "answers",
+        "baseline_latency",
+        "max_attempts",
+        "mean_latency",
+        "median_latency",
+        "p90_latency",
+        "request_class",
+    )
+
+    def __init__(self, request_class: RequestClass, max_attempts: int) -> None:
+        # An inquiry keeps this object, so new settings don't change the rules under which it was admitted.
+        self.request_class = request_class
         self.max_attempts = max_attempts
-        # Latencies in microseconds: the median, the mean, and a slow one (nine in ten are faster).
-        self.median = track.latency_target_us / 8
-        self.mean, self.answers = self.median, 0
-        self.slow = track.latency_target_us / 3
-        # The mean when all is well.
-        self.calm = track.latency_target_us / 6
-
-    def under(self, track: RequestClass, max_attempts: int) -> RequestClassState:
-        """What was learned, under other rules of the same track."""
-        if track == self.track and max_attempts == self.max_attempts:
+        # Latencies of attempts in microseconds, guessed from the target until answers arrive.
+        self.median_latency = request_class.latency_target_us / 8
+        self.mean_latency, self.answers = self.median_latency, 0
+        self.p90_latency = request_class.latency_target_us / 3
+        # The mean latency of unloaded servers.
+        self.baseline_latency = request_class.latency_target_us / 6
+
+    def with_rules(self, request_class: RequestClass, max_attempts: int) -> RequestClassState:
+        """Return what was learned combined with new rules for the same class; itself if they are equal."""
+        if request_class == self.request_class and max_attempts == self.max_attempts:
             return self
-        other = RequestClassState(track, max_attempts)
-        for name in ("answers", "calm", "mean", "median", "slow"):
+        other = RequestClassState(request_class, max_attempts)
+        for name in ("answers", "baseline_latency", "mean_latency", "median_latency", "p90_latency"):
             setattr(other, name, getattr(self, name))
         return other
 
     def learn(self, latency: int, answered: bool) -> None:
-        """Move the two quantiles a step towards an attempt's time; one without answer counts as slow."""
-        self.slow *= 1.036 if latency > self.slow else 0.996
+        """Move the quantiles a step towards an attempt's latency; an attempt without an answer raises p90."""
+        self.p90_latency *= 1.036 if latency > self.p90_latency else 0.996
         if answered:
-            self.median *= 1.02 if latency > self.median else 0.98
+            self.median_latency *= 1.02 if latency > self.median_latency else 0.98
             self.answers += 1
-            self.mean += max(0.01, 1 / (self.answers + 4)) * (latency - self.mean)
+            self.mean_latency += max(0.01, 1 / (self.answers + 4)) * (latency - self.mean_latency)
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """What is known of a server, for as long as its process lives."""
+    """What the node knows about a server, for as long as the server's process lives."""
 
     entry: Entry
-    # How it is named between nodes.
+    # The server's name in peer messages.
     tag: int
-    cap: int
+    concurrency_limit: int
     warm_at: int
-    cold_tokens: float
-    cold_at: int
+    slow_start_tokens: float
+    slow_start_refilled_at: int
     attempts: dict[tuple[InquiryId, int], Attempt] = field(default_factory=dict)
-    halved_at: int = 0
-    fail_share: float = 0.0
-    strikes: int = 0
-    # How long its answers took of late, as a multiple of the calm mean.
-    pace: float = 1.0
+    limit_lowered_at: int = 0
+    failure_rate: float = 0.0
+    consecutive_ejections: int = 0
+    # Recent latencies as a multiple of the class's baseline latency.
+    latency_ratio: float = 1.0
     answers: int = 0
-    turns: float = 0.0
-    rest_until: int = 0
-    credit: float = 1.0
-    # How many attempts of other nodes are there, as its keeper told, and until when that counts.
-    told: int = 0
-    told_until: int = 0
-    # Its place in the node's order: the own zone first, then by chance, so that nodes do not send in step.
-    place: str = ""
+    # The fractions of turns that a slow server has been granted since its last attempt.
+    turn_weight: float = 0.0
+    ejected_until: int = 0
+    # Retries that the server may still get.
+    retry_budget: float = 1.0
+    # The attempts of other nodes here, as the owner of the in-flight counts reported, and how long that
+    # holds.
+    peer_attempts: int = 0
+    peer_attempts_valid_until: int = 0
+    # The sort key in the node's order: its own zone first, then pseudo-random, so that nodes don't send to
+    # the servers in step.
+    sort_key: str = ""
 
 
 @dataclass(slots=True, eq=False)
-class Book:
-    """What a node keeps of one server for all nodes."""
+class InFlightCounts:
+    """The attempts of all nodes at one server, kept by the node that owns the server's counts."""
 
-    # Attempts by node, and when it told of them.
-    attempts: dict[int, tuple[int, int]] = field(default_factory=dict)
-    # Nodes that found no room, the first to be told first.
-    waiting: list[int] = field(default_factory=list)
-    # Latencies, in microseconds, of attempts that found it nearly empty, and full.
-    light: float = 0.0
-    full: float = 0.0
+    # By node: its attempts, and when it reported them.
+    by_node: dict[int, tuple[int, int]] = field(default_factory=dict)
+    # Nodes that found no room, in the order in which they are notified.
+    waiting_nodes: list[int] = field(default_factory=list)
+    # Mean latencies in microseconds of attempts sent while the server was nearly idle, and fully loaded.
+    idle_latency: float = 0.0
+    loaded_latency: float = 0.0
 
     def total(self, peer: int, oldest: int) -> int:
-        """Attempts of all other nodes there. One that has said nothing for long has none: it may be gone."""
-        return sum(count for other, (count, at) in self.attempts.items() if other != peer and at >= oldest)
+        """Sum the attempts of all nodes but `peer`; reports before `oldest` are ignored, the node may be dead."""
+        return sum(count for other, (count, at) in self.by_node.items() if other != peer and at >= oldest)
 
 
 @dataclass(slots=True, eq=False)
 class Inquiry:
-    """One inquiry, from its arrival to its final answer."""
+    """An inquiry from its arrival to its final answer."""
 
-    name: InquiryId
-    state: RequestClassState
-    # Where it may go.
-    rotation: Rotation
+    id: InquiryId
+    class_state: RequestClassState
+    # The servers that it may be sent to.
+    subset: Subset
     worth: float
-    # Until when an answer earns all it can, and until when it earns anything.
-    end: int
-    late_end: int
-    # How long it has once all of it has come.
-    span: int
+    # Until when an answer has its full worth, and until when it has any.
+    full_worth_until: int
+    worth_until: int
+    # The time allowed once the whole body has arrived.
+    allowed_time: int
     attempts: int = 0
-    out: Attempt | None = None
-    # The first attempt that may have run: its server and when it was sent.
-    ran_on: Server | None = None
-    ran_at: int = 0
-    over: bool = False
-    # The servers asked about for its next attempt, and how many answers are still to come.
-    choices: list[Server] = field(default_factory=list)
-    awaited: int = 0
+    current_attempt: Attempt | None = None
+    # The server of the first attempt that may have been executed, and when that attempt was sent.
+    executed_on: Server | None = None
+    executed_at: int = 0
+    is_finished: bool = False
+    # The servers queried for the next attempt, and how many replies are missing.
+    candidates: list[Server] = field(default_factory=list)
+    missing_replies: int = 0
 
     @property
-    def placed(self) -> bool:
-        """Whether it needs no place: it is over, has an attempt out, or servers are being asked about."""
-        return self.over or self.out is not None or bool(self.choices)
+    def needs_no_server(self) -> bool:
+        """Whether it is finished, has an attempt in flight, or has queries in flight."""
+        return self.is_finished or self.current_attempt is not None or bool(self.candidates)
 
 
 @dataclass(slots=True, eq=False)
-class Rotation:
-    """The servers open to a track, in the node's order; tracks bound alike share one."""
+class Subset:
+    """The servers of one placement, in the node's order. Classes with equal placement share a subset."""
 
+    # All servers that the placement permits, by sort key.
     ranked: list[Server] = field(default_factory=list)
-    # Who comes before them, how many get attempts, which these are, and which of them stand in the own zone.
-    first: dict[Server, None] = field(default_factory=dict)
-    width: int = 2
+    # The servers chosen first, how many are used, those in use, and those in use that are in the node's zone.
+    preferred: dict[Server, None] = field(default_factory=dict)
+    size: int = 2
     servers: list[Server] = field(default_factory=list)
-    near: list[Server] = field(default_factory=list)
-    turn: int = 0
-    near_turn: int = 0
-    median_fail_share: float = 0.0
-    median_pace: float = 1.0
-    # Inquiries by worth and last call. What has no place here must not keep others from places elsewhere.
-    held: list[tuple[float, int, int, Inquiry]] = field(default_factory=list)
+    local_servers: list[Server] = field(default_factory=list)
+    next_turn: int = 0
+    next_local_turn: int = 0
+    median_failure_rate: float = 0.0
+    median_latency_ratio: float = 1.0
+    # Waiting inquiries by worth, then latest start. Each subset has a queue of its own, so that inquiries
+    # without a server here don't delay those of other servers.
+    queue: list[tuple[float, int, int, Inquiry]] = field(default_factory=list)
 
 
 class Attempt:
-    """One try at an inquiry, from its sending to its end."""
-
-    __slots__ = ("filled", "found", "inquiry", "number", "overdue_at", "sent_at", "server")
+    """An attempt at an inquiry, from its sending to its end."""
+
+    __slots__ = (
+        "in_flight_at_start",
+        "inquiry",
+        "number",
+        "overdue_at",
+        "sent_at",
+        "server",
+        "used_up_limit",
+    )
 
     def __init__(self, inquiry: Inquiry, server: Server, now: int) -> None:
         self.inquiry = inquiry
         self.number = inquiry.attempts
         self.server = server
         self.sent_at = now
-        self.overdue_at = now + int(2 * inquiry.state.slow)
-        self.filled = len(server.attempts) + 1 >= server.cap
-        # How many attempts of all nodes were there, itself included; 0: nobody told of late.
-        self.found = server.told + len(server.attempts) + 1 if server.told_until >= now else 0
+        self.overdue_at = now + int(2 * inquiry.class_state.p90_latency)
+        self.used_up_limit = len(server.attempts) + 1 >= server.concurrency_limit
+        # The attempts of all nodes at the server, including this one; 0: no recent reply.
+        self.in_flight_at_start = (
+            server.peer_attempts + len(server.attempts) + 1 if server.peer_attempts_valid_until >= now else 0
+        )
 
 
 class Balancer:
@@ -243,355 +271,411 @@
         self.host = host
         self.seed = seed
         self.draws = self.order = 0
-        self.tracks: dict[str, RequestClassState] = {}
-        # By the zones and kinds that tracks are bound to; the first is that of tracks that may go anywhere.
-        self.whole = Rotation()
-        self.rotations: dict[tuple[tuple[str, ...], tuple[str, ...]], Rotation] = {((), ()): self.whole}
-        self._take(settings)
-        self.list_wait = self.list_wait_least
+        self.request_classes: dict[str, RequestClassState] = {}
+        # By placement; the first is that of classes that may use any server.
+        self.default_subset = Subset()
+        self.subsets: dict[tuple[tuple[str, ...], tuple[str, ...]], Subset] = {((), ()): self.default_subset}
+        self._apply_settings(settings)
+        self.list_wait = self.min_list_wait
         self.list_is_failing = False
-        self.list_due = 0
-        self.part = 1.0
-        # What the list says, who is left out by hand and since when, and the rest: who may be sent to.
+        self.next_list_call_at = 0
+        self.share = 1.0
+        # The server list, the servers in maintenance and since when, and the servers that may get attempts.
         self.listed: dict[ServerId, Entry] = {}
-        self.left_out: dict[ServerId, int] = {}
+        self.in_maintenance: dict[ServerId, int] = {}
         self.servers: dict[ServerId, Server] = {}
-        self.calm, self.ask_after = True, 0
-        self.mean_size, self.bound = 1.0, BOUND_START
-        self.heard_until = host.now + SECOND
+        self.is_unloaded, self.queue_paused_until = True, 0
+        self.mean_size, self.global_limit = 1.0, GLOBAL_LIMIT_START
+        self.peers_reachable_until = host.now + SECOND
         self.inquiries: dict[InquiryId, Inquiry] = {}
         self.attempts: dict[tuple[InquiryId, int], Attempt] = {}
-        self.books: dict[int, Book] = {}
-        self.by_tag: dict[int, Server] = {}
-        # Inquiries that wait for an answer about a server, by its tag.
-        self.asking: dict[int, list[Inquiry]] = {}
-        self.last_calls: list[tuple[int, int, Inquiry]] = []
-        self.watching_held = False
-        self.share_tokens = {name: (1.0, host.now) for name in self.share}
-        # The bucket: rates are tokens a microsecond. It starts open, until own arrivals are known.
-        self.started = self.refilled_at = host.now
-        self.seen = self.metered = self.sent = self.served = 0
-        # Of all that came, of what was metered, of attempts (of late, and usually), of metered ones served.
-        self.seen_rate = self.arrival_rate = self.send_rate = self.served_rate = self.usual_rate = 0.0
-        self.rate, self.rise, self.floor = 1000 / SECOND, 0.01, 1 / SECOND
-        self.tokens = self.burst = 100.0
-        # How long answers took of late, from any server, as a part of the time they have.
-        self.pace = 0.0
-        host.wake("sweep", SWEEP)
+        self.in_flight_counts: dict[int, InFlightCounts] = {}
+        self.servers_by_tag: dict[int, Server] = {}
+        # Inquiries that wait for a reply about a server, by the server's tag.
+        self.pending_queries: dict[int, list[Inquiry]] = {}
+        self.latest_starts: list[tuple[int, int, Inquiry]] = []
+        self.is_watching_queues = False
+        self.tenant_tokens = {name: (1.0, host.now) for name in self.tenant_shares}
+        # The token bucket: rates are in tokens per microsecond. It starts open, since a new node does not
+        # know its arrival rate.
+        self.started_at = self.refilled_at = host.now
+        self.seen_count = self.metered_count = self.sent_count = self.served_count = 0
+        # Rates of all arrivals, metered arrivals, attempts (recent), metered inquiries served, and attempts
+        # (long-term).
+        self.seen_rate = self.metered_rate = self.send_rate = self.served_rate = self.usual_send_rate = 0.0
+        self.token_rate, self.rate_step, self.min_token_rate = 1000 / SECOND, 0.01, 1 / SECOND
+        self.tokens = self.bucket_size = 100.0
+        # Recent latencies of all servers, as a fraction of the latency target.
+        self.target_ratio = 0.0
+        host.wake("sweep", SWEEP_INTERVAL)
         if settings.list_is_pulled:
-            self._wake_for_list(
-                int(self._chance() * min(settings.pull_interval_us * 4 // 5, FIRST_CALL_SPREAD))
+            self._schedule_list_call(
+                int(self._random() * min(settings.pull_interval_us * 4 // 5, FIRST_CALL_SPREAD))
             )
 
     # Settings.
 
-    def _take(self, settings: Settings) -> None:
-        """Settings, and the few figures that decisions make of them."""
+    def _apply_settings(self, settings: Settings) -> None:
+        """Store the settings and the values derived from them."""
         self.settings = settings
-        worths = [track.worth for track in settings.request_classes]
+        worths = [request_class.worth for request_class in settings.request_classes]
         self.core_worth = sum(worths) / max(1, len(worths))
-        known, most = self.tracks, settings.max_attempts
-        self.tracks = {
-            t.name: known[t.name].under(t, most) if t.name in known else RequestClassState(t, most)
-            for t in settings.request_classes
+        states, max_attempts = self.request_classes, settings.max_attempts
+        self.request_classes = {
+            rules.name: states[rules.name].with_rules(rules, max_attempts)
+            if rules.name in states
+            else RequestClassState(rules, max_attempts)
+            for rules in settings.request_classes
         }
-        for track in settings.request_classes:
-            self.rotations.setdefault(track.placement, Rotation())
-        self.front = settings.layer == 0
-        self.max_pause = settings.max_retry_after_us if settings.may_send_retry_after else 0
+        for request_class in settings.request_classes:
+            self.subsets.setdefault(request_class.placement, Subset())
+        self.is_front = settings.layer == 0
+        self.max_retry_after = settings.max_retry_after_us if settings.may_send_retry_after else 0
         self.margin = max(2 * settings.tick_us, 5_000)
-        self.token_wait = max(2 * settings.tick_us, 10_000)
-        self.may_message = settings.peers > 1
-        # Steps of the golden section fall evenly, however nodes are numbered over zones.
-        self.place = settings.self_index * 0.6180339887 % 1.0
-        # The list's service takes a call of each node in some seconds: calls are spread by chance. A change
-        # counts as told after 6 s, so two waits and a call between them that fails after 3 s stay under that.
-        self.list_wait_most = min(settings.pull_interval_us, SECOND) * 4 // 5
-        self.list_wait_least = min(settings.pull_interval_us // 10, self.list_wait_most)
-        promised = sum(tenant.quota_per_s for tenant in settings.tenants)
-        self.share = {t.name: t.quota_per_s / promised for t in settings.tenants if promised > 0}
-        self.longest = max((track.deadline_us for track in settings.request_classes), default=SECOND)
-        self.shortest = min((track.latency_target_us for track in settings.request_classes), default=SECOND)
-        self.ask_wait = min(ASK_WAIT, self.shortest // 6)
-        self.most_worth = max(worths, default=1.0)
+        self.max_token_wait = max(2 * settings.tick_us, 10_000)
+        self.has_peers = settings.peers > 1
+        # The golden ratio spreads nodes evenly, however their numbers are distributed over the zones.
+        self.ring_position = settings.self_index * 0.6180339887 % 1.0
+        # Discovery gets a call from every node within seconds, so waits are randomized. A change has to be
+        # known within 6 s: two waits, with a call between them that fails after 3 s, take less.
+        self.max_list_wait = min(settings.pull_interval_us, SECOND) * 4 // 5
+        self.min_list_wait = min(settings.pull_interval_us // 10, self.max_list_wait)
+        total_quota = sum(tenant.quota_per_s for tenant in settings.tenants)
+        self.tenant_shares = {
+            t.name: t.quota_per_s / total_quota for t in settings.tenants if total_quota > 0
+        }
+        self.longest_deadline = max((c.deadline_us for c in settings.request_classes), default=SECOND)
+        self.shortest_target = min((c.latency_target_us for c in settings.request_classes), default=SECOND)
+        self.query_timeout = min(QUERY_TIMEOUT, self.shortest_target // 6)
+        self.max_worth = max(worths, default=1.0)
 
     def settings_changed(self, settings: Settings) -> None:
-        """Other settings hold for what arrives from now on; what was learned stays where its track does."""
-        self._take(settings)
+        """Apply new settings to further inquiries. What was learned about a class stays while it exists."""
+        self._apply_settings(settings)
         full = (1.0, self.host.now)
-        self.share_tokens = {name: self.share_tokens.get(name, full) for name in self.share}
-        self.draw_servers()
+        self.tenant_tokens = {name: self.tenant_tokens.get(name, full) for name in self.tenant_shares}
+        self.update_servers()
 
-    def take_part(self, part: float) -> None:
-        """This process has such a part of what the node may send to cold servers."""
+    def set_share(self, share: float) -> None:
+        """Set this process's fraction of the attempts that the node may send to cold servers."""
         for server in self.servers.values():
-            server.cold_tokens *= min(1.0, part / self.part)
-        self.part = part
+            server.slow_start_tokens *= min(1.0, share / self.share)
+        self.share = share
 
     # An inquiry's path.
 
     def inquiry_arrived(
-        self, name: InquiryId, track: str, tenant: str | None, time_left_us: int, repeat: bool
+        self, inquiry_id: InquiryId, class_name: str, tenant: str | None, time_left_us: int, is_retry: bool
     ) -> None:
-        """A new inquiry: let in or dropped, then sent or held."""
+        """Handle a new inquiry: admit or drop it, then send or queue it."""
         now = self.host.now
-        state = self.tracks[track]
-        # What it is worth now: a track's worth, or little of it beyond the tenant's share.
-        within = tenant is None or self._within_share(tenant, now)
-        worth = state.track.worth * (1.0 if within else self.settings.beyond_share_worth)
-        # Until when an answer is worth most. Of a later try's time the client has used up a part already.
-        useful = state.track.latency_target_us
-        if self.front and repeat:
-            useful -= max(0, state.track.deadline_us - time_left_us)
-        span = min(useful, time_left_us) - self.margin
-        late_end = now + (time_left_us - self.margin if state.track.late_worth > 0 else span)
-        rotation = self.rotations[state.track.placement]
-        inquiry = Inquiry(name, state, rotation, worth, now + span, late_end, span)
-        self.inquiries[name] = inquiry
-        self.seen += 1
-        if inquiry.end - now < state.median / 2:
-            self._conclude(inquiry, self.max_pause)
+        class_state = self.request_classes[class_name]
+        # The worth of the class, reduced when the tenant is beyond its share.
+        within = tenant is None or self._is_within_share(tenant, now)
+        worth = class_state.request_class.worth * (1.0 if within else self.settings.beyond_share_worth)
+        # The client has already used up part of a retry's time.
+        time_to_target = class_state.request_class.latency_target_us
+        if self.is_front and is_retry:
+            time_to_target -= max(0, class_state.request_class.deadline_us - time_left_us)
+        allowed_time = min(time_to_target, time_left_us) - self.margin
+        worth_until = now + (
+            time_left_us - self.margin if class_state.request_class.late_worth > 0 else allowed_time
+        )
+        subset = self.subsets[class_state.request_class.placement]
+        inquiry = Inquiry(
+            inquiry_id, class_state, subset, worth, now + allowed_time, worth_until, allowed_time
+        )
+        self.inquiries[inquiry_id] = inquiry
+        self.seen_count += 1
+        if inquiry.full_worth_until - now < class_state.median_latency / 2:
+            self._finish(inquiry, self.max_retry_after)
             return
-        # Core inquiries pass; any other takes a token within a short wait or is dropped.
+        # Inquiries of core classes are admitted; any other takes a token within a short wait or is dropped.
         if worth <= self.core_worth:
-            self.metered += 1
-            # Beyond a share nothing waits behind others: it would mostly be turned away in the end.
-            wait = self._take_token(within, now) if within or not rotation.held else -1
+            self.metered_count += 1
+            # An inquiry beyond its tenant's share is not queued behind others: it would mostly be rejected in
+            # the end.
+            wait = self._take_token(within, now) if within or not subset.queue else -1
             if wait < 0:
-                self._conclude(inquiry, int(state.median * self._chance()))
+                self._finish(inquiry, int(class_state.median_latency * self._random()))
                 return
             if wait > 0:
-                self.host.wake(f"token {name}", wait)
+                self.host.wake(f"token {inquiry_id}", wait)
                 return
-        # Let in: to the next server of the rotation that is under its cap, or held until there is one.
-        self._place(inquiry, now)
-
-    def may_begin(self, name: InquiryId) -> bool:
-        """Whether the attempt out may still write its first byte, which may have waited for a connection."""
-        inquiry = self.inquiries.get(name)
-        if inquiry is None or inquiry.ran_on is None or inquiry.state.track.effect is Effect.IDEMPOTENT:
+        # Admitted: to the next server below its concurrency limit, or into the queue until there is one.
+        self._dispatch(inquiry, now)
+
+    def may_start_attempt(self, inquiry_id: InquiryId) -> bool:
+        """Return whether the current attempt may still be written after its wait for a connection."""
+        inquiry = self.inquiries.get(inquiry_id)
+        if (
+            inquiry is None
+            or inquiry.executed_on is None
+            or inquiry.class_state.request_class.effect is Effect.IDEMPOTENT
+        ):
             return True
-        return self._in_window(inquiry, self.host.now)
+        return self._is_in_dedup_window(inquiry, self.host.now)
 
-    def body_coming(self, name: InquiryId) -> None:
-        """A large body is passed on to the attempt out as it comes: until its last byte no time counts.
+    def body_stream_started(self, inquiry_id: InquiryId) -> None:
+        """Handle that a large body is forwarded as it arrives: time limits are off until its last byte.
 
-        Nor does its place: the server has not begun, and one slow sender would hold others back.
+        The attempt also leaves the server's in-flight count: the server has not started on it, and a slow
+        client would block others.
         """
-        inquiry = self.inquiries.get(name)
-        if inquiry is not None and inquiry.out is not None:
-            inquiry.out.overdue_at = inquiry.end = inquiry.late_end = 1 << 62
-            inquiry.out.server.attempts.pop((name, inquiry.out.number), None)
-            self._fill(self.host.now)
-
-    def body_sent(self, name: InquiryId) -> None:
-        """Its last byte was passed on: the server begins, and the inquiry's time."""
-        inquiry, now = self.inquiries.get(name), self.host.now
-        if inquiry is not None and inquiry.out is not None:
-            inquiry.end = inquiry.late_end = now + inquiry.span
-            inquiry.out.sent_at, inquiry.out.overdue_at = now, now + int(2 * inquiry.state.slow)
-            inquiry.out.server.attempts[name, inquiry.out.number] = inquiry.out
-
-    def body_spent(self, name: InquiryId) -> None:
-        """Part of it is passed on and gone: no further attempt can carry it."""
-        inquiry = self.inquiries.get(name)
+        inquiry = self.inquiries.get(inquiry_id)
+        if inquiry is not None and inquiry.current_attempt is not None:
+            inquiry.current_attempt.overdue_at = inquiry.full_worth_until = inquiry.worth_until = 1 << 62
+            inquiry.current_attempt.server.attempts.pop((inquiry_id, inquiry.current_attempt.number), None)
+            self._dispatch_queued(self.host.now)
+
+    def body_stream_ended(self, inquiry_id: InquiryId) -> None:
+        """Handle that the body's last byte was forwarded: the server starts, and time limits are on again."""
+        inquiry, now = self.inquiries.get(inquiry_id), self.host.now
+        if inquiry is not None and inquiry.current_attempt is not None:
+            inquiry.full_worth_until = inquiry.worth_until = now + inquiry.allowed_time
+            inquiry.current_attempt.sent_at, inquiry.current_attempt.overdue_at = (
+                now,
+                now + int(2 * inquiry.class_state.p90_latency),
+            )
+            inquiry.current_attempt.server.attempts[inquiry_id, inquiry.current_attempt.number] = (
+                inquiry.current_attempt
+            )
+
+    def body_not_replayable(self, inquiry_id: InquiryId) -> None:
+        """Handle that part of the body was forwarded and not kept: no further attempt can carry it."""
+        inquiry = self.inquiries.get(inquiry_id)
         if inquiry is not None:
-            inquiry.attempts = inquiry.state.max_attempts
+            inquiry.attempts = inquiry.class_state.max_attempts
 
     def attempt_ended(
         self,
-        name: InquiryId,
+        inquiry_id: InquiryId,
         number: int,
         outcome: Outcome,
         latency_us: int,
-        over: bool,
+        is_final: bool,
         report: dict[str, float] | None,
     ) -> None:
-        """An attempt has its outcome: judge the server, then go on with the inquiry where it is not over."""
+        """Handle an attempt's outcome: update the server, then retry or finish the inquiry.
+
+        With `is_final` the inquiry already has its answer.
+        """
         now = self.host.now
-        attempt = self.attempts.pop((name, number), None)
+        attempt = self.attempts.pop((inquiry_id, number), None)
         if attempt is None:
             return
-        attempt.server.attempts.pop((name, number), None)
-        if self.may_message:
-            found = attempt.found if outcome is Outcome.SERVED else 0
-            self._tell_keeper(PeerMessageKind.ENDED, attempt.server, found, latency_us)
-        self._judge(attempt, outcome, latency_us, now)
+        attempt.server.attempts.pop((inquiry_id, number), None)
+        if self.has_peers:
+            in_flight_at_start = attempt.in_flight_at_start if outcome is Outcome.SERVED else 0
+            self._notify_owner(PeerMessageKind.ENDED, attempt.server, in_flight_at_start, latency_us)
+        self._record_outcome(attempt, outcome, latency_us, now)
         inquiry = attempt.inquiry
-        inquiry.out = None
-        if over and not inquiry.over:
-            self._forget(inquiry)
-        elif not inquiry.over:
-            if not outcome.proved_not_run and inquiry.ran_on is None:
-                inquiry.ran_on, inquiry.ran_at = attempt.server, attempt.sent_at
-            if self._may_go_again(inquiry, now):
-                self._place(inquiry, now)
+        inquiry.current_attempt = None
+        if is_final and not inquiry.is_finished:
+            self._remove(inquiry)
+        elif not inquiry.is_finished:
+            if not outcome.proved_not_run and inquiry.executed_on is None:
+                inquiry.executed_on, inquiry.executed_at = attempt.server, attempt.sent_at
+            if self._may_retry(inquiry, now):
+                self._dispatch(inquiry, now)
             else:
-                self._conclude(inquiry, int(inquiry.state.median))
-        self._fill(now)
+                self._finish(inquiry, int(inquiry.class_state.median_latency))
+        self._dispatch_queued(now)
 
-    def client_left(self, name: InquiryId) -> None:
-        """The client has gone: nothing is owed, and what is out for it is called off."""
-        inquiry = self.inquiries.get(name)
+    def client_disconnected(self, inquiry_id: InquiryId) -> None:
+        """Handle that the client is gone: no answer is sent, and the attempt in flight is cancelled."""
+        inquiry = self.inquiries.get(inquiry_id)
         if inquiry is None:
             return
-        self._forget(inquiry)
-        if inquiry.out is not None and self.settings.may_cancel:
-            self.host.cancel(name, inquiry.out.number)
+        self._remove(inquiry)
+        if inquiry.current_attempt is not None and self.settings.may_cancel:
+            self.host.cancel(inquiry_id, inquiry.current_attempt.number)
 
     def alarm(self, token: str) -> None:
-        """A time asked for with `wake` has come."""
+        """Handle a wake-up that was scheduled with `Host.wake`."""
         now = self.host.now
         if token == "sweep":
             self._sweep(now)
         elif token == "held":
-            self._watch_held(now)
-        elif token == "list" and now + self.margin >= self.list_due:
+            self._watch_queues(now)
+        elif token == "list" and now + self.margin >= self.next_list_call_at:
             self.host.follow_list()
         elif token.startswith("choose "):
             inquiry = self.inquiries.get(int(token[7:]))
-            if inquiry is not None and inquiry.choices:
-                self._choose(inquiry, now)
+            if inquiry is not None and inquiry.candidates:
+                self._choose_candidate(inquiry, now)
         elif token.startswith("token "):
             inquiry = self.inquiries.get(int(token[6:]))
             if inquiry is not None:
-                self._place(inquiry, now)
+                self._dispatch(inquiry, now)
 
-    # Books of servers: what nodes tell one another.
+    # In-flight counts and peer messages.
 
-    def note_came(self, peer: int, note: PeerMessage) -> None:
-        """Another node asks how full a server is, answers, or tells of its own attempts there."""
+    def peer_message_received(self, peer: int, message: PeerMessage) -> None:
+        """Handle a query for a server's in-flight count, a reply, or a report of another node's attempts."""
         now = self.host.now
-        server = self.by_tag.get(note.tag)
+        server = self.servers_by_tag.get(message.tag)
         if server is None:
             return
-        if note.kind is PeerMessageKind.ANSWER:
-            # Nodes agree on the bound: each keeper learns a little of it, all draw towards each other.
-            self.bound += AGREE * (note.global_limit - self.bound)
+        if message.kind is PeerMessageKind.ANSWER:
+            # Nodes agree on the global limit: each owner learns a little of it, and all move towards each
+            # other.
+            self.global_limit += LIMIT_AGREEMENT * (message.global_limit - self.global_limit)
             if peer != self.settings.peer_index:
-                self.heard_until = now + self.longest
-            server.told, server.told_until = note.attempts, now + 4 * self.ask_wait
-            for inquiry in self.asking.pop(note.tag, ()):
-                inquiry.awaited -= 1
-                if inquiry.awaited == 0 and inquiry.choices:
-                    self._choose(inquiry, now)
-            self._offer(server, now)
+                self.peers_reachable_until = now + self.longest_deadline
+            server.peer_attempts, server.peer_attempts_valid_until = (
+                message.attempts,
+                now + 4 * self.query_timeout,
+            )
+            for inquiry in self.pending_queries.pop(message.tag, ()):
+                inquiry.missing_replies -= 1
+                if inquiry.missing_replies == 0 and inquiry.candidates:
+                    self._choose_candidate(inquiry, now)
+            self._offer_place(server, now)
             return
-        book = self.books.setdefault(note.tag, Book())
-        book.attempts[peer] = note.attempts, now
-        if note.kind is PeerMessageKind.ASK:
-            total = self._answer(note.tag, peer, now)
+        counts = self.in_flight_counts.setdefault(message.tag, InFlightCounts())
+        counts.by_node[peer] = message.attempts, now
+        if message.kind is PeerMessageKind.ASK:
+            total = self._reply(message.tag, peer, now)
             if (
-                total + note.attempts + 1 > self._limit(server) * LEAST_ROOM
-                and len(book.waiting) < WAITING_MOST
+                total + message.attempts + 1 > self._global_limit_of(server) * MIN_ROOM
+                and len(counts.waiting_nodes) < MAX_WAITING_NODES
             ):
-                book.waiting.append(peer)
+                counts.waiting_nodes.append(peer)
             return
-        if note.kind is PeerMessageKind.ENDED:
-            self._learn_bound(book, server, note.in_flight_at_start, note.latency_us)
-        if book.waiting:
-            # Who found the server full is told at each change there: told at ends alone they found less.
-            self._answer(note.tag, book.waiting.pop(0), now)
-
-    def _answer(self, tag: int, peer: int, now: int) -> int:
-        total = self.books[tag].total(peer, now - self.longest)
-        self._tell(peer, PeerMessage(PeerMessageKind.ANSWER, tag, total, global_limit=self.bound))
+        if message.kind is PeerMessageKind.ENDED:
+            self._learn_global_limit(counts, server, message.in_flight_at_start, message.latency_us)
+        if counts.waiting_nodes:
+            # A waiting node is notified at each change of the count: notified at ends alone, nodes found
+            # fewer free places.
+            self._reply(message.tag, counts.waiting_nodes.pop(0), now)
+
+    def _reply(self, tag: int, peer: int, now: int) -> int:
+        """Send a node the in-flight count of a server without its own attempts, and return the count."""
+        total = self.in_flight_counts[tag].total(peer, now - self.longest_deadline)
+        self._send_message(
+            peer, PeerMessage(PeerMessageKind.ANSWER, tag, total, global_limit=self.global_limit)
+        )
         return total
 
-    def _tell(self, peer: int, note: PeerMessage) -> None:
-        tell = self.note_came if peer == self.settings.peer_index else self.host.send_to_peer
-        tell(peer, note)
+    def _send_message(self, peer: int, message: PeerMessage) -> None:
+        """Send a message to a node, or handle it at once where the node is this one."""
+        deliver = self.peer_message_received if peer == self.settings.peer_index else self.host.send_to_peer
+        deliver(peer, message)
 
-    def _tell_keeper(
-        self, kind: PeerMessageKind, server: Server, found: int = 0, latency_us: int = 0
+    def _notify_owner(
+        self, kind: PeerMessageKind, server: Server, in_flight_at_start: int = 0, latency_us: int = 0
     ) -> None:
-        note = PeerMessage(kind, server.tag, len(server.attempts), found, latency_us)
-        self._tell(server.tag % self.settings.peers, note)
+        """Send a message about a server to the node that owns its in-flight counts."""
+        message = PeerMessage(kind, server.tag, len(server.attempts), in_flight_at_start, latency_us)
+        self._send_message(server.tag % self.settings.peers, message)
 
-    def _learn_bound(self, book: Book, server: Server, found: int, latency: int) -> None:
-        """Full servers should answer little later than idle ones, and in half of the shortest expected time.
+    def _learn_global_limit(
+        self, counts: InFlightCounts, server: Server, in_flight_at_start: int, latency: int
+    ) -> None:
+        """Move the global limit a step by the latency of an attempt at a fully loaded server.
 
-        Where none is ever idle, what was learned of idle ones is wrong: by that alone the bound ran away.
+        It rises while fully loaded servers answer little later than idle ones and within half of the shortest
+        latency target. The second condition is needed where no server is ever idle: the idle latency is wrong
+        there, and by the first alone the limit grew without bound.
         """
-        if 0 < found <= BOUND_LEAST:
-            book.light += (0.1 if book.light else 1.0) * (latency - book.light)
-        elif found >= self._limit(server) * NEARLY:
-            book.full += (0.1 if book.full else 1.0) * (latency - book.full)
-            good = book.full < min(IN_TIME * book.light, CALM * self.shortest)
-            self.bound = max(BOUND_LEAST, self.bound * (1 + BOUND_STEP if good else 1 - BOUND_STEP))
+        if 0 < in_flight_at_start <= MIN_GLOBAL_LIMIT:
+            counts.idle_latency += (0.1 if counts.idle_latency else 1.0) * (latency - counts.idle_latency)
+        elif in_flight_at_start >= self._global_limit_of(server) * FULLY_LOADED:
+            counts.loaded_latency += (0.1 if counts.loaded_latency else 1.0) * (
+                latency - counts.loaded_latency
+            )
+            in_time = counts.loaded_latency < min(
+                IN_TIME_RATIO * counts.idle_latency, UNLOADED_TARGET_RATIO * self.shortest_target
+            )
+            self.global_limit = max(
+                MIN_GLOBAL_LIMIT,
+                self.global_limit * (1 + GLOBAL_LIMIT_STEP if in_time else 1 - GLOBAL_LIMIT_STEP),
+            )
 
-    def _limit(self, server: Server) -> float:
-        """How many attempts of all nodes a server takes, by its size."""
-        return self.bound * server.entry.size / self.mean_size
+    def _global_limit_of(self, server: Server) -> float:
+        """Return how many attempts of all nodes a server takes, by its size."""
+        return self.global_limit * server.entry.size / self.mean_size
 
-    def _fits(self, inquiry: Inquiry, server: Server, now: int) -> bool:
-        """Whether a server has room for it by its book: what pays little leaves some for what pays more.
+    def _has_room(self, inquiry: Inquiry, server: Server, now: int) -> bool:
+        """Return whether a server is below its global limit; inquiries of less worth leave some room.
 
-        Where no node has answered for long, messages do not get through: the node's own caps decide alone.
+        Where no node has replied for long, messages do not get through, and only the node's own concurrency
+        limits apply.
         """
-        room = min(1.0, LEAST_ROOM + 2 * (1 - LEAST_ROOM) * inquiry.worth / self.most_worth)
-        return self._fill_of(server, now) + 1 <= self._limit(server) * room or self.heard_until < now
+        room = min(1.0, MIN_ROOM + 2 * (1 - MIN_ROOM) * inquiry.worth / self.max_worth)
+        return (
+            self._total_attempts(server, now) + 1 <= self._global_limit_of(server) * room
+            or self.peers_reachable_until < now
+        )
 
-    def _fill_of(self, server: Server, now: int) -> float:
-        """Attempts of all nodes at a server; one that nobody told of late counts as half full."""
-        return len(server.attempts) + (server.told if server.told_until >= now else self._limit(server) / 2)
+    def _total_attempts(self, server: Server, now: int) -> float:
+        """Return the attempts of all nodes at a server; half its limit is assumed without a recent reply."""
+        return len(server.attempts) + (
+            server.peer_attempts
+            if server.peer_attempts_valid_until >= now
+            else self._global_limit_of(server) / 2
+        )
 
-    def _bind(self, inquiry: Inquiry, server: Server, now: int) -> None:
-        """Send, where books are kept after asking how full the next few servers of the rotation are."""
-        if not self.may_message:
+    def _query_or_send(self, inquiry: Inquiry, server: Server, now: int) -> None:
+        """Send the inquiry; with peer messages, first query the load of the next few servers in turn."""
+        if not self.has_peers:
             self._send(inquiry, server, now)
             return
-        choices = [server]
-        while len(choices) < ASKED:
+        candidates = [server]
+        while len(candidates) < MAX_CANDIDATES:
             other = self._next_server(inquiry, now)
-            if other is None or other in choices:
+            if other is None or other in candidates:
                 break
-            choices.append(other)
-        inquiry.choices, inquiry.awaited = choices, len(choices)
-        self.host.wake(f"choose {inquiry.name}", self.ask_wait)
-        for one in choices:
-            # A keeper that is gone for good never answers: who waits no more goes.
-            waiting = [other for other in self.asking.get(one.tag, ()) if other.choices]
-            self.asking[one.tag] = [*waiting, inquiry]
-            self._tell_keeper(PeerMessageKind.ASK, one)
-
-    def _choose(self, inquiry: Inquiry, now: int) -> None:
-        """The least full of the servers asked about."""
-        choices, inquiry.choices = inquiry.choices, []
-        if inquiry.placed:
+            candidates.append(other)
+        inquiry.candidates, inquiry.missing_replies = candidates, len(candidates)
+        self.host.wake(f"choose {inquiry.id}", self.query_timeout)
+        for candidate in candidates:
+            # An owner that is gone never replies: inquiries that no longer wait for it are removed here.
+            waiting = [other for other in self.pending_queries.get(candidate.tag, ()) if other.candidates]
+            self.pending_queries[candidate.tag] = [*waiting, inquiry]
+            self._notify_owner(PeerMessageKind.ASK, candidate)
+
+    def _choose_candidate(self, inquiry: Inquiry, now: int) -> None:
+        """Send the inquiry to the least loaded of the queried servers, or queue it if none has room."""
+        candidates, inquiry.candidates = inquiry.candidates, []
+        if inquiry.needs_no_server:
             return
-        # The list may have changed while they were asked about.
-        open_ = inquiry.rotation.ranked
-        ready = [s for s in choices if s in open_ and len(s.attempts) < s.cap]
-        ready = [server for server in ready if self._fits(inquiry, server, now)]
+        # The server list may have changed during the query.
+        permitted = inquiry.subset.ranked
+        ready = [s for s in candidates if s in permitted and len(s.attempts) < s.concurrency_limit]
+        ready = [server for server in ready if self._has_room(inquiry, server, now)]
         if ready:
-            least_full = min(ready, key=lambda server: (self._fill_of(server, now) + 1) / server.entry.size)
-            self._send(inquiry, least_full, now)
+            least_loaded = min(
+                ready, key=lambda server: (self._total_attempts(server, now) + 1) / server.entry.size
+            )
+            self._send(inquiry, least_loaded, now)
         else:
-            # Its keepers will tell of a free place; in case that gets lost it asks again after a while.
-            self.ask_after = now + 3 * self.ask_wait
-            self._hold(inquiry, now)
-
-    def _offer(self, server: Server, now: int) -> None:
-        """A place at this server may be free: the first of what is held takes it."""
-        for rotation in self._by_worth():
-            held = rotation.held
-            while held and held[0][3].placed:
-                heappop(held)
-            if not held or server not in rotation.ranked:
+            # The owners notify the node of a free place; in case that message is lost, the queue is tried
+            # again after a while.
+            self.queue_paused_until = now + 3 * self.query_timeout
+            self._enqueue(inquiry, now)
+
+    def _offer_place(self, server: Server, now: int) -> None:
+        """Send the first queued inquiry that may use this server to it, if the server has room."""
+        for subset in self._subsets_by_worth():
+            queue = subset.queue
+            while queue and queue[0][3].needs_no_server:
+                heappop(queue)
+            if not queue or server not in subset.ranked:
                 continue
-            inquiry = held[0][3]
-            if self._ready_from([server], 0, inquiry, now) == 0 and self._fits(inquiry, server, now):
-                heappop(held)
+            inquiry = queue[0][3]
+            if self._find_ready([server], 0, inquiry, now) == 0 and self._has_room(inquiry, server, now):
+                heappop(queue)
                 self._send(inquiry, server, now)
                 return
 
-    # The list of servers.
+    # The server list.
 
     def servers_listed(self, kind: ListKind, entries: list[Entry]) -> None:
-        """The list, or changes of it, as told. A server that drains or is gone leaves at once."""
+        """Apply a server list or its changes. A server that drains or is gone gets no more attempts."""
         if kind is not ListKind.REMEMBERED:
-            self.list_wait = self.list_wait_least
+            self.list_wait = self.min_list_wait
             self.list_is_failing = False
         if kind is not ListKind.CHANGES:
             self.listed = {}
@@ -599,439 +683,517 @@
             self.listed[entry.server] = entry
             if entry.condition is Condition.GONE:
                 del self.listed[entry.server]
-        self.draw_servers([entry.server for entry in entries] if kind is ListKind.CHANGES else None)
-
-    def leave_out(self, server: ServerId, sure: bool = False) -> bool:
-        """By hand: nothing goes there until it is put back, whatever the list says. False: unknown."""
-        if sure or server in self.listed:
-            self.left_out.setdefault(server, self.host.now)
-            self.draw_servers([server])
-        return server in self.left_out
-
-    def put_back(self, server: ServerId) -> bool:
-        """By hand: the list alone speaks for this server again, taken for just started; False: unknown."""
-        since, entry = self.left_out.pop(server, None), self.listed.get(server)
+        self.update_servers([entry.server for entry in entries] if kind is ListKind.CHANGES else None)
+
+    def start_maintenance(self, server: ServerId, force: bool = False) -> bool:
+        """Stop sending to a server until `end_maintenance`, whatever the list says.
+
+        Returns False for a server that is not listed, unless `force` is set.
+        """
+        if force or server in self.listed:
+            self.in_maintenance.setdefault(server, self.host.now)
+            self.update_servers([server])
+        return server in self.in_maintenance
+
+    def end_maintenance(self, server: ServerId) -> bool:
+        """Send to a server again as the list says, as if it had just started. Returns False if unknown."""
+        since, entry = self.in_maintenance.pop(server, None), self.listed.get(server)
         if since is not None and entry is not None:
             if entry.started_at_us < since:
                 self.listed[server] = replace(entry, started_at_us=self.host.now)
-            self.draw_servers([server])
+            self.update_servers([server])
         return since is not None or entry is not None
 
     def may_send(self, server: ServerId) -> bool:
-        """Whether an attempt chosen before may still begin: it may have left the rotation since."""
+        """Return whether an attempt chosen earlier may still start: the server may have left since."""
         return server in self.servers
 
-    def draw_servers(self, changed: list[ServerId] | None = None) -> None:
-        """Who may be sent to: what the list calls ready and nobody left out; of these alone, or all anew."""
-        now, ranked = self.host.now, self.whole.ranked
-        caps = [server.cap for server in self.whole.servers]
-        mean_cap = round(sum(caps) / len(caps)) if caps else 2
+    def update_servers(self, changed: list[ServerId] | None = None) -> None:
+        """Update the servers that may get attempts: those that are listed as ready and not in maintenance.
+
+        With `changed` only these servers are updated; otherwise all of them.
+        """
+        now, ranked = self.host.now, self.default_subset.ranked
+        limits = [server.concurrency_limit for server in self.default_subset.servers]
+        mean_limit = round(sum(limits) / len(limits)) if limits else 2
         names = dict.fromkeys([*self.servers, *self.listed] if changed is None else changed)
-        old = {name: self.servers.pop(name) for name in names if name in self.servers}
-        for server in old.values() if changed else ():
-            del ranked[bisect_left(ranked, server.place, key=lambda s: s.place)]
+        previous = {name: self.servers.pop(name) for name in names if name in self.servers}
+        for server in previous.values() if changed else ():
+            del ranked[bisect_left(ranked, server.sort_key, key=lambda s: s.sort_key)]
         for name in names if len(names) == 1 else [name for name in self.listed if name in names]:
-            entry, known = self.listed.get(name), old.get(name)
-            if entry is None or entry.condition is not Condition.READY or name in self.left_out:
+            entry, server_state = self.listed.get(name), previous.get(name)
+            if entry is None or entry.condition is not Condition.READY or name in self.in_maintenance:
                 continue
-            if known is None or known.entry.started_at_us < entry.started_at_us:
-                # A restart is a new, cold server; a whole attempt of each node at once is too much: half of
-                # one.
+            if server_state is None or server_state.entry.started_at_us < entry.started_at_us:
+                # A restarted server counts as new and cold. It starts with a random part of a token, half of
+                # one on average: a whole attempt of every node at once is too much for it.
                 warm_at = entry.started_at_us + self.settings.warm_up_us if entry.started_at_us else 0
-                known = Server(entry, entry.tag, mean_cap, warm_at, self._chance(), now)
-                known.place = f"0{crc32(f'{self.seed} {name}'.encode()):08x}{name}"
-            known.place = f"{entry.zone != self.settings.zone:d}{known.place[1:]}"
-            known.entry, self.servers[name] = entry, known
+                server_state = Server(entry, entry.tag, mean_limit, warm_at, self._random(), now)
+                server_state.sort_key = f"0{crc32(f'{self.seed} {name}'.encode()):08x}{name}"
+            server_state.sort_key = f"{entry.zone != self.settings.zone:d}{server_state.sort_key[1:]}"
+            server_state.entry, self.servers[name] = entry, server_state
             if changed:
-                insort(ranked, known, key=lambda s: s.place)
-        ranked = sorted(self.servers.values(), key=lambda s: s.place) if changed is None else ranked
-        told = [self.servers[n] for n in self.listed if n in self.servers] if self.may_message else []
-        self.mean_size = sum(server.entry.size for server in told) / len(told) if told else self.mean_size
-        self.by_tag = {server.tag: server for server in told}
-        self.books = {tag: book for tag, book in self.books.items() if tag in self.by_tag}
-        self.asking = {tag: waiting for tag, waiting in self.asking.items() if tag in self.by_tag}
-        for (zones, kinds), rotation in self.rotations.items():
-            own = [s for s in ranked if s.entry.zone in zones] if zones else ranked
-            own = rotation.ranked = [s for s in own if s.entry.kind in kinds] if kinds else own
-            width = -(-COMPANY * len(own) // self.settings.instances)
-            width = rotation.width = max(WIDTH_ASKED if self.may_message else 2, width)
-            # With many nodes the first few, COMPANY nodes to a server, spread by the node's number: chance
-            # alone would be uneven. Replacements come by chance, so that the nodes of a bad server part.
-            near = (bisect_left(own, "1", key=lambda s: s.place) or len(own)) if width < len(own) else 0
-            ring = sorted(own[:near], key=lambda s: crc32(s.entry.server.encode()))
-            at = int(self.place * len(ring))
-            rotation.first = dict.fromkeys((ring[at:] + ring[:at])[:width])
-        self._draw_rotations(now)
-        self._fill(now)
-
-    def _draw_rotations(self, now: int) -> None:
-        """All servers of the node's order, or with many nodes the first not at rest, so that caps bind."""
-        for rotation in self.rotations.values():
-            first, ranked, width = rotation.first, rotation.ranked, rotation.width
-            order = chain(first, (s for s in ranked if s not in first)) if first else ranked
-            awake = (s for s in order if s.rest_until <= now) if first else ranked
-            rotation.servers = list(islice(awake, width)) or list(dict.fromkeys([*first, *ranked]))[:width]
-            rotation.near = [s for s in rotation.servers if s.entry.zone == self.settings.zone]
+                insort(ranked, server_state, key=lambda s: s.sort_key)
+        ranked = sorted(self.servers.values(), key=lambda s: s.sort_key) if changed is None else ranked
+        ready = [self.servers[n] for n in self.listed if n in self.servers] if self.has_peers else []
+        self.mean_size = sum(server.entry.size for server in ready) / len(ready) if ready else self.mean_size
+        self.servers_by_tag = {server.tag: server for server in ready}
+        self.in_flight_counts = {
+            tag: counts for tag, counts in self.in_flight_counts.items() if tag in self.servers_by_tag
+        }
+        self.pending_queries = {
+            tag: waiting for tag, waiting in self.pending_queries.items() if tag in self.servers_by_tag
+        }
+        for (zones, kinds), subset in self.subsets.items():
+            permitted = [s for s in ranked if s.entry.zone in zones] if zones else ranked
+            permitted = subset.ranked = (
+                [s for s in permitted if s.entry.kind in kinds] if kinds else permitted
+            )
+            size = -(-NODES_PER_SERVER * len(permitted) // self.settings.instances)
+            size = subset.size = max(MIN_QUERIED_SUBSET if self.has_peers else 2, size)
+            # With many nodes each node prefers a few servers, NODES_PER_SERVER nodes to a server. They follow
+            # from the node's number, since a random choice would be uneven. Replacements of ejected servers
+            # are pseudo-random, so that the nodes of a bad server move to different ones.
+            local = (
+                (bisect_left(permitted, "1", key=lambda s: s.sort_key) or len(permitted))
+                if size < len(permitted)
+                else 0
+            )
+            ring = sorted(permitted[:local], key=lambda s: crc32(s.entry.server.encode()))
+            at = int(self.ring_position * len(ring))
+            subset.preferred = dict.fromkeys((ring[at:] + ring[:at])[:size])
+        self._update_subsets(now)
+        self._dispatch_queued(now)
+
+    def _update_subsets(self, now: int) -> None:
+        """Choose the servers in use: all in the node's order, or with many nodes the first not ejected."""
+        for subset in self.subsets.values():
+            preferred, ranked, size = subset.preferred, subset.ranked, subset.size
+            order = chain(preferred, (s for s in ranked if s not in preferred)) if preferred else ranked
+            usable = (s for s in order if s.ejected_until <= now) if preferred else ranked
+            subset.servers = list(islice(usable, size)) or list(dict.fromkeys([*preferred, *ranked]))[:size]
+            subset.local_servers = [s for s in subset.servers if s.entry.zone == self.settings.zone]
 
     def list_failed(self) -> None:
-        """The list did not answer or broke off: ask again after a growing wait, out of step with others."""
+        """Handle a failed list call: call again after a growing, randomized wait."""
         if not self.list_is_failing:
-            # One line for each series of failures: more would hide what comes between them.
+            # Only the first failure of a series is logged, or the lines would hide others.
             self.host.log(f"list of servers failed; asking again in about {self.list_wait // 1000} ms")
         self.list_is_failing = True
-        self._wake_for_list(int(self.list_wait * (0.5 + self._chance())))
-        self.list_wait = min(2 * self.list_wait, self.list_wait_most)
+        self._schedule_list_call(int(self.list_wait * (0.5 + self._random())))
+        self.list_wait = min(2 * self.list_wait, self.max_list_wait)
 
-    def _wake_for_list(self, wait: int) -> None:
-        """One call is due at a time: what was to be made before gives way, or calls would go on in series."""
-        self.list_due = self.host.now + wait
+    def _schedule_list_call(self, wait: int) -> None:
+        """Schedule the next list call in place of an earlier schedule, which would start a second series."""
+        self.next_list_call_at = self.host.now + wait
         self.host.wake("list", wait)
 
     # Admission.
 
-    def _within_share(self, tenant: str, now: int) -> bool:
-        """Count an inquiry against its tenant's share of what this node sees: nodes see one mix of tenants.
+    def _is_within_share(self, tenant: str, now: int) -> bool:
+        """Count an inquiry against its tenant's share of what this node receives.
 
-        Deeper down all are within: a drop there would look like a failure of the server above.
+        All nodes receive the same mix of tenants. Behind the front layer every inquiry is within the share: a
+        drop there would look like a failure of the server above.
         """
-        share = self.share.get(tenant)
-        if share is None or not self.front or not self.seen_rate or now - self.started < SECOND:
-            # In its first second a node does not know what it sees yet.
+        share = self.tenant_shares.get(tenant)
+        if share is None or not self.is_front or not self.seen_rate or now - self.started_at < SECOND:
+            # In its first second a node does not know its arrival rate.
             return True
         rate = share * self.seen_rate
-        tokens, since = self.share_tokens[tenant]
-        # Deep enough that the noise of a trickle is no surge; a tenant beyond its share never fills it.
-        tokens = min(max(SHARE_DEPTH, rate * SECOND), tokens + (now - since) * rate)
+        tokens, since = self.tenant_tokens[tenant]
+        # Deep enough that random bunching of a low rate does not count as a surge. A tenant beyond its share
+        # never fills it.
+        tokens = min(max(MIN_SHARE_BURST, rate * SECOND), tokens + (now - since) * rate)
         within = tokens >= 1
-        self.share_tokens[tenant] = (tokens - 1 if within else tokens, now)
+        self.tenant_tokens[tenant] = (tokens - 1 if within else tokens, now)
         return within
 
     def _take_token(self, within: bool, now: int) -> int:
-        """Take or reserve a token; the wait for it, or -1 where it would be too long."""
-        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.rate)
+        """Take or reserve a token. Returns the wait for it in microseconds, or -1 if that is too long."""
+        self.tokens = min(self.bucket_size, self.tokens + (now - self.refilled_at) * self.token_rate)
         self.refilled_at = now
-        # One tenant's surge must not drain the bucket for all: beyond a share, most of it stays untouched.
-        short = (1.0 if within else 1.0 + self.burst * RESERVE) - self.tokens
-        wait = int(short / self.rate) + 1 if short > 0 else 0
-        if wait > self.token_wait:
+        # Beyond a tenant's share most of the bucket is reserved: one tenant's surge must not drain it for
+        # all.
+        missing = (1.0 if within else 1.0 + self.bucket_size * RESERVED_FRACTION) - self.tokens
+        wait = int(missing / self.token_rate) + 1 if missing > 0 else 0
+        if wait > self.max_token_wait:
             return -1
         self.tokens -= 1
         return wait
 
-    def _fell(self) -> None:
-        """A send failed: from a rate that admits all down to where it matters, then step by step.
+    def _lower_token_rate(self) -> None:
+        """Lower the token rate after a failed attempt, first to twice the arrival rate if it is above.
 
-        Eight steps down for one up let the rate settle at a ninth of sends failed.
+        A step down is as large as eight steps up, so the rate settles where a ninth of the attempts fail.
         """
-        if self.host.now - self.started < SECOND:
-            # A new node does not know its own arrivals yet; one early failure must not shut the bucket.
+        if self.host.now - self.started_at < SECOND:
+            # A new node does not know its arrival rate yet; one early failure must not shut the bucket.
             return
-        self.rate = max(self.floor, min(self.rate, 2 * self.arrival_rate) * (1 - 8 * self.rise))
+        self.token_rate = max(
+            self.min_token_rate, min(self.token_rate, 2 * self.metered_rate) * (1 - 8 * self.rate_step)
+        )
 
-    def _rose(self) -> None:
-        """A send was served: a step up."""
-        if self.rate < 4 * self.arrival_rate:
-            # With nothing held and quick answers there is room: without larger steps servers stood idle for
-            # twenty seconds after a bad one while most traffic was dropped.
-            self.rate *= 1 + (min(RISE_MOST, CALM_RISE * self.rise) if self.calm else self.rise)
+    def _raise_token_rate(self) -> None:
+        """Raise the token rate one step after a served attempt."""
+        if self.token_rate < 4 * self.metered_rate:
+            # An unloaded node has room. Without larger steps, servers stood idle for twenty seconds after one
+            # of them had failed, while most of the traffic was dropped.
+            self.token_rate *= 1 + (
+                min(MAX_RATE_STEP, UNLOADED_STEP_FACTOR * self.rate_step)
+                if self.is_unloaded
+                else self.rate_step
+            )
 
-    # The rotation.
+    # Choice of servers.
 
     def _next_server(self, inquiry: Inquiry, now: int) -> Server | None:
-        """The next server in the rotation that may take this inquiry's next attempt."""
-        rotation = inquiry.rotation
-        # Crossings cost: while all goes well, the servers of the node's own zone come first.
-        found = self._ready_from(rotation.near, rotation.near_turn, inquiry, now) if self.calm else -1
-        if found >= 0:
-            rotation.near_turn = (found + 1) % len(rotation.near)
-            return rotation.near[found]
-        found = self._ready_from(rotation.servers, rotation.turn, inquiry, now)
-        if found < 0:
+        """Return the next server in turn that may take this inquiry's next attempt, if any."""
+        subset = inquiry.subset
+        # Traffic between zones costs money and time: an unloaded node uses the servers of its own zone first.
+        index = (
+            self._find_ready(subset.local_servers, subset.next_local_turn, inquiry, now)
+            if self.is_unloaded
+            else -1
+        )
+        if index >= 0:
+            subset.next_local_turn = (index + 1) % len(subset.local_servers)
+            return subset.local_servers[index]
+        index = self._find_ready(subset.servers, subset.next_turn, inquiry, now)
+        if index < 0:
             return None
-        rotation.turn = (found + 1) % len(rotation.servers)
-        return rotation.servers[found]
+        subset.next_turn = (index + 1) % len(subset.servers)
+        return subset.servers[index]
 
-    def _ready_from(self, servers: list[Server], turn: int, inquiry: Inquiry, now: int) -> int:
-        """The place in the rotation, from this turn on, of the first server ready; -1 if none is."""
-        further = inquiry.attempts > 0
-        usual_pace = SLOWER * inquiry.rotation.median_pace
+    def _find_ready(self, servers: list[Server], turn: int, inquiry: Inquiry, now: int) -> int:
+        """Return the index of the first server, from `turn` on, that may take the attempt; -1 if none may."""
+        is_retry = inquiry.attempts > 0
+        slow_ratio = SLOW_SERVER_RATIO * inquiry.subset.median_latency_ratio
         skipped = -1
         for step in range(turn, turn + len(servers)):
-            place = step % len(servers)
-            server = servers[place]
+            index = step % len(servers)
+            server = servers[index]
             attempts = server.attempts
-            if len(attempts) >= server.cap or server.rest_until > now:
+            if len(attempts) >= server.concurrency_limit or server.ejected_until > now:
                 continue
             if attempts and next(iter(attempts.values())).overdue_at <= now:
                 continue
-            if further and (server.credit < 1 or not self._in_group(inquiry, server)):
+            if is_retry and (server.retry_budget < 1 or not self._may_retry_at(inquiry, server)):
                 continue
-            if server.warm_at > now and not self._cold_room(server, now):
+            if server.warm_at > now and not self._has_slow_start_token(server, now):
                 continue
-            if server.pace > usual_pace:
-                # Slower than most: it gives up turns in proportion, unless no other server is ready.
-                server.turns += usual_pace / server.pace
-                if server.turns < 1:
-                    skipped = place if skipped < 0 else skipped
+            if server.latency_ratio > slow_ratio:
+                # A slow server gives up turns in proportion to its latency, unless no other server is ready.
+                server.turn_weight += slow_ratio / server.latency_ratio
+                if server.turn_weight < 1:
+                    skipped = index if skipped < 0 else skipped
                     continue
-                server.turns -= 1
-            return place
+                server.turn_weight -= 1
+            return index
         return skipped
 
-    def _place(self, inquiry: Inquiry, now: int) -> None:
-        """Bind to the next server, or hold."""
+    def _dispatch(self, inquiry: Inquiry, now: int) -> None:
+        """Choose a server for the inquiry, or queue it."""
         server = self._next_server(inquiry, now)
         if server is None:
-            self._hold(inquiry, now)
+            self._enqueue(inquiry, now)
         else:
-            self._bind(inquiry, server, now)
+            self._query_or_send(inquiry, server, now)
 
     def _send(self, inquiry: Inquiry, server: Server, now: int) -> None:
-        timeout = inquiry.late_end - now
+        """Start an attempt of the inquiry at the server."""
+        timeout = inquiry.worth_until - now
         if inquiry.attempts > 0:
-            server.credit -= 1
-        # A silent server must not hold the inquiry to its end, if it could go elsewhere after that.
-        track = inquiry.state.track
-        patient = int(3 * inquiry.state.slow)
-        repeatable = (
-            track.effect is not Effect.NOT_IDEMPOTENT and inquiry.attempts + 1 < inquiry.state.max_attempts
+            server.retry_budget -= 1
+        # Where a retry is permitted, the timeout leaves time for it after a server that does not answer.
+        request_class = inquiry.class_state.request_class
+        retry_timeout = int(3 * inquiry.class_state.p90_latency)
+        may_repeat = (
+            request_class.effect is not Effect.NOT_IDEMPOTENT
+            and inquiry.attempts + 1 < inquiry.class_state.max_attempts
         )
-        if repeatable and timeout - patient > inquiry.state.median:
-            timeout = patient
+        if may_repeat and timeout - retry_timeout > inquiry.class_state.median_latency:
+            timeout = retry_timeout
         attempt = Attempt(inquiry, server, now)
-        key = inquiry.name, attempt.number
+        key = inquiry.id, attempt.number
         self.attempts[key] = server.attempts[key] = attempt
         inquiry.attempts += 1
-        inquiry.out = attempt
-        self.sent += 1
+        inquiry.current_attempt = attempt
+        self.sent_count += 1
         if server.warm_at > now:
-            server.cold_tokens -= 1
-        self.host.send(inquiry.name, server.entry.server, timeout)
-        if self.may_message:
-            self._tell_keeper(PeerMessageKind.SENT, server)
+            server.slow_start_tokens -= 1
+        self.host.send(inquiry.id, server.entry.server, timeout)
+        if self.has_peers:
+            self._notify_owner(PeerMessageKind.SENT, server)
 
-    def _hold(self, inquiry: Inquiry, now: int) -> None:
-        """Hold by worth, then by last call: short expected times would go by behind long ones."""
+    def _enqueue(self, inquiry: Inquiry, now: int) -> None:
+        """Queue the inquiry by worth, then by latest start: arrival order would let short targets expire."""
         self.order += 1
-        last_call = inquiry.end - int(inquiry.state.slow)
-        heappush(inquiry.rotation.held, (-inquiry.worth, last_call, self.order, inquiry))
-        heappush(self.last_calls, (last_call, self.order, inquiry))
-        if not self.watching_held:
-            self.watching_held = True
-            self.host.wake("held", self.token_wait)
-
-    def _by_worth(self) -> list[Rotation]:
-        """What is worth most comes first, wherever it may go: rotations share servers."""
-        return sorted(self.rotations.values(), key=lambda rotation: rotation.held[:1])
-
-    def _fill(self, now: int) -> None:
-        """Give free places to held inquiries."""
-        for rotation in self._by_worth():
-            held = rotation.held
-            aside: list[tuple[float, int, int, Inquiry]] = []
-            while held and now >= self.ask_after:
-                inquiry = held[0][3]
-                if inquiry.placed:
-                    heappop(held)
+        latest_start = inquiry.full_worth_until - int(inquiry.class_state.p90_latency)
+        heappush(inquiry.subset.queue, (-inquiry.worth, latest_start, self.order, inquiry))
+        heappush(self.latest_starts, (latest_start, self.order, inquiry))
+        if not self.is_watching_queues:
+            self.is_watching_queues = True
+            self.host.wake("held", self.max_token_wait)
+
+    def _subsets_by_worth(self) -> list[Subset]:
+        """Return the subsets, the most valuable queued inquiry first: subsets may share servers."""
+        return sorted(self.subsets.values(), key=lambda subset: subset.queue[:1])
+
+    def _dispatch_queued(self, now: int) -> None:
+        """Send queued inquiries to servers that have room."""
+        for subset in self._subsets_by_worth():
+            queue = subset.queue
+            skipped: list[tuple[float, int, int, Inquiry]] = []
+            while queue and now >= self.queue_paused_until:
+                inquiry = queue[0][3]
+                if inquiry.needs_no_server:
+                    heappop(queue)
                     continue
                 server = self._next_server(inquiry, now)
                 if server is not None:
-                    heappop(held)
-                    self._bind(inquiry, server, now)
-                elif inquiry.attempts > 0 and len(aside) < 8:
-                    # Where only this one's choice of servers is narrow, the next may still be placed.
-                    aside.append(heappop(held))
+                    heappop(queue)
+                    self._query_or_send(inquiry, server, now)
+                elif inquiry.attempts > 0 and len(skipped) < 8:
+                    # A retry may use fewer servers than the next inquiry, which may still find one.
+                    skipped.append(heappop(queue))
                 else:
                     break
-            for item in aside:
-                heappush(held, item)
-
-    def _watch_held(self, now: int) -> None:
-        """Last calls: what cannot be satisfied in time any more is answered now."""
-        self._fill(now)
-        while self.last_calls and self.last_calls[0][0] <= now:
-            inquiry = heappop(self.last_calls)[2]
-            if not inquiry.placed:
+            for item in skipped:
+                heappush(queue, item)
+
+    def _watch_queues(self, now: int) -> None:
+        """Dispatch queued inquiries, and finish those that can no longer be answered in time."""
+        self._dispatch_queued(now)
+        while self.latest_starts and self.latest_starts[0][0] <= now:
+            inquiry = heappop(self.latest_starts)[2]
+            if not inquiry.needs_no_server:
                 if inquiry.worth <= self.core_worth:
-                    # A token was given for a send that no server had room for.
-                    self._fell()
-                self._conclude(inquiry, int(inquiry.state.median))
-        self.watching_held = any(rotation.held for rotation in self.rotations.values())
-        if self.watching_held:
-            self.host.wake("held", self.token_wait)
+                    # The bucket gave out a token for an attempt that no server had room for.
+                    self._lower_token_rate()
+                self._finish(inquiry, int(inquiry.class_state.median_latency))
+        self.is_watching_queues = any(subset.queue for subset in self.subsets.values())
+        if self.is_watching_queues:
+            self.host.wake("held", self.max_token_wait)
         else:
-            self.last_calls.clear()
+            self.latest_starts.clear()
+
+    def _has_slow_start_token(self, server: Server, now: int) -> bool:
+        """Refill a cold server's tokens, by the usual rate of a warm server, and return whether one is left.
 
-    def _cold_room(self, server: Server, now: int) -> bool:
-        """A budget of attempts for a cold server, by what a warm one usually gets, also in a burst."""
+        The usual rate also holds in a burst, when the current rate would be higher.
+        """
         rules = self.settings
-        warmth = (
+        capacity = (
             rules.cold_capacity
             + (1 - rules.cold_capacity) * (now - server.entry.started_at_us) / rules.warm_up_us
         )
-        per_server = min(self.send_rate, self.usual_rate) / max(1, len(self.whole.servers))
-        rate = 0.5 * rules.crash_multiple * warmth * per_server * self.part
-        most = max(1.0, rate * rules.crash_window_us / 4)
-        server.cold_tokens = min(most, server.cold_tokens + (now - server.cold_at) * rate)
-        server.cold_at = now
-        return server.cold_tokens >= 1
+        per_server = min(self.send_rate, self.usual_send_rate) / max(1, len(self.default_subset.servers))
+        rate = 0.5 * rules.crash_multiple * capacity * per_server * self.share
+        max_tokens = max(1.0, rate * rules.crash_window_us / 4)
+        server.slow_start_tokens = min(
+            max_tokens, server.slow_start_tokens + (now - server.slow_start_refilled_at) * rate
+        )
+        server.slow_start_refilled_at = now
+        return server.slow_start_tokens >= 1
 
-    # What an attempt's end tells.
+    # Outcomes of attempts.
 
-    def _judge(self, attempt: Attempt, outcome: Outcome, latency: int, now: int) -> None:
-        server, state = attempt.server, attempt.inquiry.state
+    def _record_outcome(self, attempt: Attempt, outcome: Outcome, latency: int, now: int) -> None:
+        """Update the server's limit and budgets, the class's latencies and the token rate."""
+        server, class_state = attempt.server, attempt.inquiry.class_state
         if outcome is Outcome.CANCELLED and now >= attempt.overdue_at:
-            # The client left while a silent server held its attempt.
+            # The client left while the server did not answer.
             outcome = Outcome.TIMEOUT
         if outcome is Outcome.SERVED:
-            state.learn(latency, True)
-            if state.answers == ENOUGH and len(self.whole.servers) == len(self.whole.ranked):
-                # The guess was a sixth of their time: caps would stay low on a wide network.
-                # The first answers may have come under load, so not all of their mean counts.
-                state.calm = max(state.calm, FIRST_PART * state.mean)
-            server.fail_share *= 0.8
-            server.credit = min(4.0, server.credit + 0.1)
-            self.served += attempt.inquiry.worth <= self.core_worth
-            self._rose()
-            # One answer says little, for inquiries differ: in time is a server whose answers of late were.
-            self.pace += 0.1 * (latency / state.track.latency_target_us - self.pace)
+            class_state.learn(latency, True)
+            if class_state.answers == ENOUGH_ANSWERS and len(self.default_subset.servers) == len(
+                self.default_subset.ranked
+            ):
+                # The first baseline is a guess, a sixth of the latency target. With a high network latency it
+                # is too low, and limits would stay low. Only part of the mean replaces it, since the first
+                # answers may have come under load.
+                class_state.baseline_latency = max(
+                    class_state.baseline_latency, FIRST_BASELINE_FRACTION * class_state.mean_latency
+                )
+            server.failure_rate *= 0.8
+            server.retry_budget = min(4.0, server.retry_budget + 0.1)
+            self.served_count += attempt.inquiry.worth <= self.core_worth
+            self._raise_token_rate()
+            # Inquiries differ, so a server is judged by the mean of its recent answers.
+            self.target_ratio += 0.1 * (
+                latency / class_state.request_class.latency_target_us - self.target_ratio
+            )
             server.answers += 1
-            server.pace += max(0.1, 1 / (server.answers + 2)) * (latency / state.calm - server.pace)
-            server.strikes = 0
-            # A cap rises only where it was used up: otherwise the answer says nothing about it.
-            if attempt.filled and server.pace <= IN_TIME:
-                server.cap += 1
-            elif server.pace > FAR_LATE and server.cap > 1 and attempt.sent_at > server.halved_at:
-                # Late without failing: what all nodes hold there keeps it slow, also once the burst is over.
-                server.cap, server.halved_at = server.cap - 1, now
+            server.latency_ratio += max(0.1, 1 / (server.answers + 2)) * (
+                latency / class_state.baseline_latency - server.latency_ratio
+            )
+            server.consecutive_ejections = 0
+            # The limit rises only where it was used up; otherwise the answer says nothing about it.
+            if attempt.used_up_limit and server.latency_ratio <= IN_TIME_RATIO:
+                server.concurrency_limit += 1
+            elif (
+                server.latency_ratio > FAR_LATE_RATIO
+                and server.concurrency_limit > 1
+                and attempt.sent_at > server.limit_lowered_at
+            ):
+                # Late answers without failures: the attempts of all nodes keep the server slow, even after
+                # the burst that made it so.
+                server.concurrency_limit, server.limit_lowered_at = server.concurrency_limit - 1, now
         elif outcome is Outcome.NOT_STARTED and attempt.number > 0:
-            # It never began: what a further attempt costs is given back.
-            server.credit = min(4.0, server.credit + 1)
-        elif outcome in (Outcome.MALFORMED, Outcome.RESET) and server.fail_share < MOSTLY:
-            # It wrote its answer badly or dropped a connection: no sign of load, unless it does little else.
-            server.fail_share += 0.2 * (1 - server.fail_share)
+            # The retry never started: the server's budget gets its cost back.
+            server.retry_budget = min(4.0, server.retry_budget + 1)
+        elif outcome in (Outcome.MALFORMED, Outcome.RESET) and server.failure_rate < MOSTLY_FAILING:
+            # A malformed answer or a reset is no sign of overload, unless the server does little else.
+            server.failure_rate += 0.2 * (1 - server.failure_rate)
         elif outcome not in (Outcome.CANCELLED, Outcome.NOT_STARTED):
-            if outcome is Outcome.TIMEOUT or attempt.inquiry.end - now < 4 * self.margin:
-                # An error at the very end is a time-out too: deeper down the time ran out a little earlier.
-                state.learn(latency, False)
+            if outcome is Outcome.TIMEOUT or attempt.inquiry.full_worth_until - now < 4 * self.margin:
+                # An error at the very end counts as a timeout: a layer further down timed out a little
+                # earlier.
+                class_state.learn(latency, False)
             if outcome is not Outcome.CONNECT_FAILED:
-                # A connection that is late or refused says nothing of load: the server alone answers for it.
-                self._fell()
-            if attempt.inquiry.end - attempt.sent_at < state.slow:
-                # It was sent with too little time left for a usual answer: that is not the server's failure.
+                # A late or refused connection is no sign of overload, so only the server is held responsible.
+                self._lower_token_rate()
+            if attempt.inquiry.full_worth_until - attempt.sent_at < class_state.p90_latency:
+                # The attempt was sent with too little time for a usual answer: not the server's failure.
                 return
-            lowest = server.cap == 1
-            if attempt.sent_at > server.halved_at:
-                # Attempts sent before the last halving tell of the same trouble: half was enough.
-                server.cap, server.halved_at = max(1, server.cap // 2), now
-            server.fail_share += 0.2 * (1 - server.fail_share)
-            if lowest and server.fail_share > attempt.inquiry.rotation.median_fail_share:
-                self._rest(server, now, outcome.value)
-
-    def _rest(self, server: Server, now: int, why: str) -> None:
-        """Out of the rotation, for longer each time until it does well again."""
-        least = int(2 * min((track.calm for track in self.tracks.values()), default=self.margin))
-        if server.strikes > 0:
-            # It failed its trial too. A trial costs an attempt: where a node sends little, a short rest
-            # would be over before the next one.
-            least = max(least, int(min(10 / max(self.send_rate, 1e-9), REST_MOST)))
-        server.rest_until = now + min(least << min(server.strikes, 3), REST_MOST)
-        server.strikes += 1
-        # Another takes its turns until it is back: a narrow rotation must not wait for one at rest, and
-        # one that lost its place for good would drive all nodes to the few that have not failed yet.
-        self._draw_rotations(now)
-        if server.strikes == 3:
-            self.host.log(f"resting {server.entry.server}: {why}, fail share {server.fail_share:.2f}")
-
-    def _may_go_again(self, inquiry: Inquiry, now: int) -> bool:
-        """Whether rules and time allow a further attempt."""
-        if inquiry.attempts >= inquiry.state.max_attempts or inquiry.end - now < inquiry.state.median:
+            was_lowest = server.concurrency_limit == 1
+            if attempt.sent_at > server.limit_lowered_at:
+                # Attempts sent before the limit was lowered failed for the same cause: one halving is enough.
+                server.concurrency_limit, server.limit_lowered_at = max(1, server.concurrency_limit // 2), now
+            server.failure_rate += 0.2 * (1 - server.failure_rate)
+            if was_lowest and server.failure_rate > attempt.inquiry.subset.median_failure_rate:
+                self._eject(server, now, outcome.value)
+
+    def _eject(self, server: Server, now: int, why: str) -> None:
+        """Eject a server, for twice as long each time until it serves an attempt."""
+        shortest = int(
+            2 * min((c.baseline_latency for c in self.request_classes.values()), default=self.margin)
+        )
+        if server.consecutive_ejections > 0:
+            # The server failed the attempt after its ejection too. Such a trial costs an attempt, and where a
+            # node sends little, a short ejection would be over before the next one.
+            shortest = max(shortest, int(min(10 / max(self.send_rate, 1e-9), MAX_EJECTION)))
+        server.ejected_until = now + min(shortest << min(server.consecutive_ejections, 3), MAX_EJECTION)
+        server.consecutive_ejections += 1
+        # Another server takes its turns until it is back. A small subset must not wait for an ejected server;
+        # and if a failure cost a server its place for good, all nodes would move to the few that have not
+        # failed yet.
+        self._update_subsets(now)
+        if server.consecutive_ejections == 3:
+            self.host.log(f"resting {server.entry.server}: {why}, failure rate {server.failure_rate:.2f}")
+
+    def _may_retry(self, inquiry: Inquiry, now: int) -> bool:
+        """Return whether the class's rules and the time left permit a further attempt."""
+        if (
+            inquiry.attempts >= inquiry.class_state.max_attempts
+            or inquiry.full_worth_until - now < inquiry.class_state.median_latency
+        ):
             return False
-        if inquiry.ran_on is None or inquiry.state.track.effect is Effect.IDEMPOTENT:
+        if inquiry.executed_on is None or inquiry.class_state.request_class.effect is Effect.IDEMPOTENT:
             return True
-        return inquiry.state.track.effect is Effect.IDEMPOTENT_BY_KEY and self._in_window(inquiry, now)
+        return (
+            inquiry.class_state.request_class.effect is Effect.IDEMPOTENT_BY_KEY
+            and self._is_in_dedup_window(inquiry, now)
+        )
 
-    def _in_window(self, inquiry: Inquiry, now: int) -> bool:
-        """Whether the group that got a labelled inquiry surely remembers it when another attempt arrives."""
-        return now < inquiry.ran_at + inquiry.state.track.dedup_window_us - self.margin
+    def _is_in_dedup_window(self, inquiry: Inquiry, now: int) -> bool:
+        """Return whether the first server's group will still know the key when another attempt arrives."""
+        return now < inquiry.executed_at + inquiry.class_state.request_class.dedup_window_us - self.margin
 
-    def _in_group(self, inquiry: Inquiry, server: Server) -> bool:
-        """Whether a further attempt to this server keeps the rule on effects."""
-        first, track = inquiry.ran_on, inquiry.state.track
-        if first is None or track.effect is Effect.IDEMPOTENT:
+    def _may_retry_at(self, inquiry: Inquiry, server: Server) -> bool:
+        """Return whether a retry at this server can't execute the inquiry twice against the class's rules."""
+        first, request_class = inquiry.executed_on, inquiry.class_state.request_class
+        if first is None or request_class.effect is Effect.IDEMPOTENT:
             return True
-        if not self._in_window(inquiry, self.host.now):
+        if not self._is_in_dedup_window(inquiry, self.host.now):
             return False
-        if track.group is Group.CELL:
+        if request_class.group is Group.CELL:
             return server.entry.cell == first.entry.cell
-        return track.group is Group.ALL or server.entry.zone == first.entry.zone
-
-    def _conclude(self, inquiry: Inquiry, pause: int) -> None:
-        """The final answer: at the front a deferral where a repeat does no harm, else a give-up."""
-        track = inquiry.state.track
-        harmless = (
-            inquiry.ran_on is None
-            or track.effect is Effect.IDEMPOTENT
-            or (track.effect is Effect.IDEMPOTENT_BY_KEY and track.group is Group.ALL)
+        return request_class.group is Group.ALL or server.entry.zone == first.entry.zone
+
+    def _finish(self, inquiry: Inquiry, retry_after: int) -> None:
+        """Answer the inquiry: rejected at the front layer if a retry is safe, otherwise failed."""
+        request_class = inquiry.class_state.request_class
+        retry_is_safe = (
+            inquiry.executed_on is None
+            or request_class.effect is Effect.IDEMPOTENT
+            or (request_class.effect is Effect.IDEMPOTENT_BY_KEY and request_class.group is Group.ALL)
         )
-        self._forget(inquiry)
-        if self.front and harmless:
-            self.host.reject(inquiry.name, min(pause, self.max_pause))
+        self._remove(inquiry)
+        if self.is_front and retry_is_safe:
+            self.host.reject(inquiry.id, min(retry_after, self.max_retry_after))
         else:
-            self.host.fail(inquiry.name)
+            self.host.fail(inquiry.id)
 
-    def _forget(self, inquiry: Inquiry) -> None:
-        inquiry.over = True
-        del self.inquiries[inquiry.name]
+    def _remove(self, inquiry: Inquiry) -> None:
+        """Mark the inquiry as finished and drop it from the open ones."""
+        inquiry.is_finished = True
+        del self.inquiries[inquiry.id]
 
-    # What goes on in the background.
+    # Periodic work.
 
     def _sweep(self, now: int) -> None:
-        """Four times a second: rates, the bucket's size, the calm means, the fleet's medians."""
-        self.host.wake("sweep", SWEEP)
-        self._draw_rotations(now)
-        servers, ranked = self.whole.servers, self.whole.ranked
-        weight = 0.5 if now - self.started < 2 * SECOND else 0.1
-        self.arrival_rate += weight * (self.metered / SWEEP - self.arrival_rate)
-        # In an outage of all, what was sent before stays the measure of what servers that come back may get.
-        able = any(server.rest_until <= now and server.warm_at <= now for server in servers)
-        if able or self.sent / SWEEP > self.send_rate:
-            self.send_rate += weight * (self.sent / SWEEP - self.send_rate)
-        self.usual_rate += max(0.02, SWEEP / (now - self.started + 1)) * (self.send_rate - self.usual_rate)
-        self.seen_rate += weight * (self.seen / SWEEP - self.seen_rate)
-        self.served_rate += weight * (self.served / SWEEP - self.served_rate)
-        self.seen = self.metered = self.sent = self.served = 0
-        # The rate follows within seconds, whether answers are many or few: few of them take larger steps.
-        self.rise = min(RISE_MOST, max(0.005, 0.2 / (self.send_rate * SECOND + 1)))
-        # A drop deeper down wastes what the tiers above have done, so the floor there lets the usual traffic
-        # pass. At the front a tenth of it: where servers choke or a hall is lost there may be no more.
-        self.floor = max(self.arrival_rate * 1.2, 1 / SECOND)
-        if self.front:
-            # Nor is less let in than was served a moment ago, the surer the more attempts tell of it: holds
-            # that end in a row must not shut a bucket that others still pass well.
-            served = SERVED_PART * (1 - self.rise / RISE_MOST) * self.served_rate
-            # Nor, while nothing waits and answers are quick, less than its caps have room for: failures that
-            # say nothing of load would keep it at its floor for good, beside servers that are hardly used.
-            slowest = max((state.mean for state in self.tracks.values()), default=SECOND)
-            room = sum(s.cap for s in servers if s.rest_until <= now) / slowest if self.calm else 0.0
-            served = max(served, SERVED_PART * min(room, self.arrival_rate))
-            self.floor = max(self.arrival_rate * 0.1, served, 1 / SECOND / self.settings.instances)
-        self.rate = max(self.floor, self.rate)
-        self.burst = max(8.0, self.rate * SECOND / 2)
-        # Where a node uses the whole tier and all its caps are low, answers don't take long for its load:
-        # the network is wide, or all servers are slow. Caps would stay low for a minute else.
-        low = servers == ranked and sum(server.cap for server in servers) <= LOW_CAPS * len(servers)
-        drift = 1.02 if low else 1.002
-        for state in self.tracks.values():
-            if state.answers >= ENOUGH:
-                state.calm = min(state.calm * drift, state.mean)
-        self.calm = not self.watching_held and self.pace <= CALM
-        for rotation in self.rotations.values():
-            middle = len(rotation.servers) // 2
-            if rotation.servers:
-                rotation.median_fail_share = sorted(s.fail_share for s in rotation.servers)[middle]
-                rotation.median_pace = sorted(s.pace for s in rotation.servers)[middle]
-
-    def _chance(self) -> float:
+        """Update rates, the bucket's size, baseline latencies and medians, four times a second."""
+        self.host.wake("sweep", SWEEP_INTERVAL)
+        self._update_subsets(now)
+        servers, ranked = self.default_subset.servers, self.default_subset.ranked
+        weight = 0.5 if now - self.started_at < 2 * SECOND else 0.1
+        self.metered_rate += weight * (self.metered_count / SWEEP_INTERVAL - self.metered_rate)
+        # In an outage of all servers the send rate before it is kept: it measures what servers that come back
+        # may get.
+        any_available = any(server.ejected_until <= now and server.warm_at <= now for server in servers)
+        if any_available or self.sent_count / SWEEP_INTERVAL > self.send_rate:
+            self.send_rate += weight * (self.sent_count / SWEEP_INTERVAL - self.send_rate)
+        self.usual_send_rate += max(0.02, SWEEP_INTERVAL / (now - self.started_at + 1)) * (
+            self.send_rate - self.usual_send_rate
+        )
+        self.seen_rate += weight * (self.seen_count / SWEEP_INTERVAL - self.seen_rate)
+        self.served_rate += weight * (self.served_count / SWEEP_INTERVAL - self.served_rate)
+        self.seen_count = self.metered_count = self.sent_count = self.served_count = 0
+        # Steps are larger where answers are few, so that the token rate follows within seconds at any rate.
+        self.rate_step = min(MAX_RATE_STEP, max(0.005, 0.2 / (self.send_rate * SECOND + 1)))
+        # Behind the front layer a drop wastes the work of the layers above, so the minimum lets the usual
+        # traffic pass. At the front it is a tenth of that: more may be too much where servers are overloaded
+        # or a zone is lost.
+        self.min_token_rate = max(self.metered_rate * 1.2, 1 / SECOND)
+        if self.is_front:
+            # The minimum is also close to what was served a moment ago, the closer the more attempts support
+            # it: a series of expired inquiries must not shut a bucket whose other inquiries are served well.
+            served = SERVED_FRACTION * (1 - self.rate_step / MAX_RATE_STEP) * self.served_rate
+            # On an unloaded node it is close to what the concurrency limits have room for. Without that,
+            # failures that say nothing about load kept the rate at its minimum for good, beside servers that
+            # were hardly used.
+            slowest = max((c.mean_latency for c in self.request_classes.values()), default=SECOND)
+            room = (
+                sum(s.concurrency_limit for s in servers if s.ejected_until <= now) / slowest
+                if self.is_unloaded
+                else 0.0
+            )
+            served = max(served, SERVED_FRACTION * min(room, self.metered_rate))
+            self.min_token_rate = max(self.metered_rate * 0.1, served, 1 / SECOND / self.settings.instances)
+        self.token_rate = max(self.min_token_rate, self.token_rate)
+        self.bucket_size = max(8.0, self.token_rate * SECOND / 2)
+        # Where a node uses all servers and all its limits are low, its own load can't be why answers are
+        # late: the network latency is high, or all servers are slow. The baseline rises faster then, or the
+        # limits would stay low for a minute.
+        is_low = servers == ranked and (
+            sum(server.concurrency_limit for server in servers) <= LOW_MEAN_LIMIT * len(servers)
+        )
+        drift = 1.02 if is_low else 1.002
+        for class_state in self.request_classes.values():
+            if class_state.answers >= ENOUGH_ANSWERS:
+                class_state.baseline_latency = min(
+                    class_state.baseline_latency * drift, class_state.mean_latency
+                )
+        self.is_unloaded = not self.is_watching_queues and self.target_ratio <= UNLOADED_TARGET_RATIO
+        for subset in self.subsets.values():
+            middle = len(subset.servers) // 2
+            if subset.servers:
+                subset.median_failure_rate = sorted(s.failure_rate for s in subset.servers)[middle]
+                subset.median_latency_ratio = sorted(s.latency_ratio for s in subset.servers)[middle]
+
+    def _random(self) -> float:
+        """Draw a number from 0 up to 1, reproducible by the seed and the number of draws."""
         self.draws += 1
         return crc32(f"{self.seed} {self.draws}".encode()) / 2**32
--- a/coraldeal/handover/state.py
+++ b/coraldeal/handover/state.py
@@ -1,6 +1,7 @@
-"""What one process of a node has learned, as plain values for the next one. No I/O, and nothing is decided.
+"""What one process of a node has learned, as plain values for its successor. No I/O and no decisions.
 
-Times are by the system's monotonic clock, which both processes read.
+Times are by the system's monotonic clock, which both processes share. The keys stay when an attribute is
+renamed, since another version of the program may write or read them.
 """
 
 from __future__ import annotations
@@ -9,51 +10,87 @@
 
 from coraldeal.balance import Balancer
 
-OF_TRACK = ("answers", "calm", "mean", "median", "slow")
-OF_SERVER = (
-    *("answers", "cap", "cold_at", "cold_tokens", "credit", "fail_share", "halved_at", "pace"),
-    *("rest_until", "strikes", "turns"),
-)
-OF_NODE = (
-    *("arrival_rate", "bound", "burst", "floor", "pace", "rate"),
-    *("refilled_at", "rise", "send_rate", "seen_rate", "served_rate", "started", "tokens"),
-)
-# Of the rotation over the whole tier; those of bound tracks find theirs within a quarter second.
-OF_WHOLE = ("median_fail_share", "median_pace")
+# By stored key: the attribute of a request class, of a server, and of the balancer.
+REQUEST_CLASS_KEYS = {
+    "answers": "answers",
+    "calm": "baseline_latency",
+    "mean": "mean_latency",
+    "median": "median_latency",
+    "slow": "p90_latency",
+}
+SERVER_KEYS = {
+    "answers": "answers",
+    "cap": "concurrency_limit",
+    "cold_at": "slow_start_refilled_at",
+    "cold_tokens": "slow_start_tokens",
+    "credit": "retry_budget",
+    "fail_share": "failure_rate",
+    "halved_at": "limit_lowered_at",
+    "pace": "latency_ratio",
+    "rest_until": "ejected_until",
+    "strikes": "consecutive_ejections",
+    "turns": "turn_weight",
+}
+NODE_KEYS = {
+    "arrival_rate": "metered_rate",
+    "bound": "global_limit",
+    "burst": "bucket_size",
+    "floor": "min_token_rate",
+    "pace": "target_ratio",
+    "rate": "token_rate",
+    "refilled_at": "refilled_at",
+    "rise": "rate_step",
+    "send_rate": "send_rate",
+    "seen_rate": "seen_rate",
+    "served_rate": "served_rate",
+    "started": "started_at",
+    "tokens": "tokens",
+}
+# Of the subset of all servers. The other subsets compute their medians within a quarter second.
+DEFAULT_SUBSET_KEYS = {"median_fail_share": "median_failure_rate", "median_pace": "median_latency_ratio"}
 
 
-def _values(of: object, names: tuple[str, ...]) -> dict[str, float]:
-    return {name: getattr(of, name) for name in names}
+def _values(of: object, keys: dict[str, str]) -> dict[str, float]:
+    return {key: getattr(of, attribute) for key, attribute in keys.items()}
 
 
 def learned(balancer: Balancer) -> dict[str, Any]:
-    """All that the next process should know beside the list."""
+    """Return what the successor should know besides the server list."""
     return {
-        "node": _values(balancer, OF_NODE),
-        "whole": _values(balancer.whole, OF_WHOLE),
-        "tracks": {name: _values(track, OF_TRACK) for name, track in balancer.tracks.items()},
-        "servers": {name: _values(server, OF_SERVER) for name, server in balancer.servers.items()},
-        "left_out": balancer.left_out,
+        "node": _values(balancer, NODE_KEYS),
+        "whole": _values(balancer.default_subset, DEFAULT_SUBSET_KEYS),
+        "tracks": {
+            name: _values(class_state, REQUEST_CLASS_KEYS)
+            for name, class_state in balancer.request_classes.items()
+        },
+        "servers": {name: _values(server, SERVER_KEYS) for name, server in balancer.servers.items()},
+        "left_out": balancer.in_maintenance,
     }
 
 
-def resume(balancer: Balancer, told: dict[str, Any]) -> None:
-    """Go on from there; unknown keys are passed over. What is no such thing raises and changes nothing.
+def resume(balancer: Balancer, state: dict[str, Any]) -> None:
+    """Restore what the predecessor learned; unknown keys are ignored.
 
-    LookupError, TypeError, ValueError or AttributeError, for it comes from another version of the program.
+    A state that can't be read, which may come from another version of the program, raises LookupError,
+    TypeError, ValueError or AttributeError and changes nothing.
     """
-    parts: list[tuple[Any, Any, tuple[str, ...]]] = [(balancer, told["node"], OF_NODE)]
-    parts.append((balancer.whole, told.get("whole", {}), OF_WHOLE))
-    parts += [(track, told["tracks"].get(name, {}), OF_TRACK) for name, track in balancer.tracks.items()]
-    parts += [(server, told["servers"].get(name, {}), OF_SERVER) for name, server in balancer.servers.items()]
+    targets: list[tuple[Any, Any, dict[str, str]]] = [(balancer, state["node"], NODE_KEYS)]
+    targets.append((balancer.default_subset, state.get("whole", {}), DEFAULT_SUBSET_KEYS))
+    targets += [
+        (class_state, state["tracks"].get(name, {}), REQUEST_CLASS_KEYS)
+        for name, class_state in balancer.request_classes.items()
+    ]
+    targets += [
+        (server, state["servers"].get(name, {}), SERVER_KEYS) for name, server in balancer.servers.items()
+    ]
     numbers = [
-        (part, name, type(getattr(part, name))(values[name]))
-        for part, values, names in parts
-        for name in names
-        if name in values
+        (target, attribute, type(getattr(target, attribute))(values[key]))
+        for target, values, keys in targets
+        for key, attribute in keys.items()
+        if key in values
     ]
-    left_out = {str(server): int(since) for server, since in told["left_out"].items()}
-    for part, name, number in numbers:
-        setattr(part, name, number)
-    balancer.left_out = left_out
-    balancer.draw_servers()
+    in_maintenance = {str(server): int(since) for server, since in state["left_out"].items()}
+    for target, attribute, number in numbers:
+        setattr(target, attribute, number)
+    balancer.in_maintenance = in_maintenance
+    balancer.update_servers()
