--- a/coraldeal/connections/__init__.py
+++ b/coraldeal/connections/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to servers: how long one that rests may be used again. Imported only where it is asked for."""
+"""How long an idle connection to a server may be reused. Imported only where an operator turns it on."""
