--- a/coraldeal/balance.py
+++ b/coraldeal/balance.py
@@ -184,7 +184,7 @@
     loaded_latency: float = 0.0
 
     def total(self, peer: int, oldest: int) -> int:
-        """Sum the attempts of all nodes but `peer`; reports before `oldest` are ignored, the node may be dead."""
+        """Sum the attempts of all nodes but `peer`, without reports before `oldest`: the node may be dead."""
         return sum(count for other, (count, at) in self.by_node.items() if other != peer and at >= oldest)
 
 
