--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""How long connections may rest: learned from closes fixed, random, changing, and from few signs."""
+"""How long idle connections may be reused, learned from closes at fixed, random and changing ages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 from coraldeal.config import SettingsError
-from coraldeal.connections.ages import EDGES, SECOND, Ages, Rests
+from coraldeal.connections.ages import AGE_EDGES, SECOND, ConnectionAges, IdlePeriods
 from coraldeal.interface import Outcome
 from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
@@ -28,71 +28,71 @@
 
 class AgesCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.ages = Ages(8 * SECOND, 0.01)
-        self.server = Rests()
+        self.ages = ConnectionAges(8 * SECOND, 0.01)
+        self.server = IdlePeriods()
         self.now = 1_000 * SECOND
         self.number = 0
 
-    def live(self, rests: int, close_at: Callable[[float], float], every: float = 0.5) -> int:
-        """So many rests, each used again by chance or closed first; how many careful uses met a close."""
-        met = 0
-        for _ in range(rests):
+    def simulate(self, count: int, close_at: Callable[[float], float], every: float = 0.5) -> int:
+        """Idle periods that end by a random reuse or by a close; how many safe reuses crossed a close."""
+        crossed = 0
+        for _ in range(count):
             self.number += 2
             self.now += int(every * SECOND)
-            wanted = int(chance(self.number) * 10 * SECOND)
+            reused = int(chance(self.number) * 10 * SECOND)
             closes = int(close_at(chance(self.number + 1)) * SECOND)
-            # It is given up at the age up to which it is usable.
-            end = min(wanted, self.ages.usable(self.server))
-            sure = self.ages.sure(self.server)
-            met += wanted <= sure and closes <= wanted
-            self.ages.ended(self.server, min(end, closes), closes < end, self.now)
-        return met
-
-    def test_nothing_seen(self) -> None:
-        self.assertEqual(self.ages.sure(self.server), 8 * SECOND // 10)
-        self.assertEqual(self.ages.usable(self.server), 8 * SECOND)
-
-    def test_closes_at_one_age(self) -> None:
-        self.assertEqual(self.live(600, lambda _: 5.0), 0)
-        self.assertTrue(3.9 * SECOND < self.ages.usable(self.server) <= 5 * SECOND)
-        self.assertTrue(1.5 * SECOND < self.ages.sure(self.server) <= 2.5 * SECOND)
-
-    def test_closes_at_random_ages(self) -> None:
-        for least, most in ((2.0, 8.0), (0.2, 1.0)):
-            with self.subTest(least=least):
+            # The node closes the connection at its usable age.
+            end = min(reused, self.ages.usable_age(self.server))
+            safe = self.ages.safe_age(self.server)
+            crossed += reused <= safe and closes <= reused
+            self.ages.record(self.server, min(end, closes), closes < end, self.now)
+        return crossed
+
+    def test_without_observations_a_tenth_of_the_limit_is_safe(self) -> None:
+        self.assertEqual(self.ages.safe_age(self.server), 8 * SECOND // 10)
+        self.assertEqual(self.ages.usable_age(self.server), 8 * SECOND)
+
+    def test_closes_at_one_age_bound_the_safe_and_usable_age(self) -> None:
+        self.assertEqual(self.simulate(600, lambda _: 5.0), 0)
+        self.assertTrue(3.9 * SECOND < self.ages.usable_age(self.server) <= 5 * SECOND)
+        self.assertTrue(1.5 * SECOND < self.ages.safe_age(self.server) <= 2.5 * SECOND)
+
+    def test_closes_at_random_ages_bound_the_safe_and_usable_age(self) -> None:
+        for lowest, highest in ((2.0, 8.0), (0.2, 1.0)):
+            with self.subTest(lowest=lowest):
                 self.setUp()
-                # What was taken for sure before the first close may have met one.
-                self.live(60, lambda c, a=least, b=most: a + (b - a) * c)  # type: ignore[misc]
-                met = self.live(800, lambda c, a=least, b=most: a + (b - a) * c)  # type: ignore[misc]
-                self.assertEqual(met, 0)
-                self.assertLess(self.ages.sure(self.server), least * SECOND)
-                self.assertGreater(self.ages.usable(self.server), least * SECOND * 0.8)
-
-    def test_a_limit_that_changes_is_learned_both_ways(self) -> None:
-        self.live(400, lambda _: 6.0)
-        self.live(60, lambda _: 0.5)
-        self.assertLessEqual(self.ages.usable(self.server), SECOND // 2)
-        self.assertLessEqual(self.ages.sure(self.server), SECOND // 4)
+                # Before the first close was seen, a reuse that counted as safe may have crossed one.
+                self.simulate(60, lambda c, a=lowest, b=highest: a + (b - a) * c)  # type: ignore[misc]
+                crossed = self.simulate(800, lambda c, a=lowest, b=highest: a + (b - a) * c)  # type: ignore[misc]
+                self.assertEqual(crossed, 0)
+                self.assertLess(self.ages.safe_age(self.server), lowest * SECOND)
+                self.assertGreater(self.ages.usable_age(self.server), lowest * SECOND * 0.8)
+
+    def test_limit_that_falls_and_rises_is_learned(self) -> None:
+        self.simulate(400, lambda _: 6.0)
+        self.simulate(60, lambda _: 0.5)
+        self.assertLessEqual(self.ages.usable_age(self.server), SECOND // 2)
+        self.assertLessEqual(self.ages.safe_age(self.server), SECOND // 4)
         # Minutes later the old limit is back.
-        self.live(2000, lambda _: 6.0)
-        self.assertGreater(self.ages.usable(self.server), 3 * SECOND)
-
-    def test_a_server_of_which_little_is_known_goes_by_its_tier(self) -> None:
-        self.live(400, lambda _: 1.0)
-        fresh = Rests()
-        self.assertEqual(self.ages.usable(fresh), self.ages.usable(self.server))
-        self.assertLessEqual(self.ages.sure(fresh), SECOND // 2)
+        self.simulate(2000, lambda _: 6.0)
+        self.assertGreater(self.ages.usable_age(self.server), 3 * SECOND)
+
+    def test_server_with_few_observations_uses_those_of_all_servers(self) -> None:
+        self.simulate(400, lambda _: 1.0)
+        fresh = IdlePeriods()
+        self.assertEqual(self.ages.usable_age(fresh), self.ages.usable_age(self.server))
+        self.assertLessEqual(self.ages.safe_age(fresh), SECOND // 2)
         for _ in range(40):
-            self.ages.ended(fresh, 7 * SECOND, False, self.now)
-        self.assertEqual(self.ages.usable(fresh), 8 * SECOND)
+            self.ages.record(fresh, 7 * SECOND, False, self.now)
+        self.assertEqual(self.ages.usable_age(fresh), 8 * SECOND)
 
-    def test_ages_beyond_the_last_step(self) -> None:
-        self.ages.ended(self.server, 10 * EDGES[-1], True, self.now)
-        self.assertEqual(self.ages.usable(self.server), 8 * SECOND)
+    def test_age_beyond_the_last_step_is_accepted(self) -> None:
+        self.ages.record(self.server, 10 * AGE_EDGES[-1], True, self.now)
+        self.assertEqual(self.ages.usable_age(self.server), 8 * SECOND)
 
 
 class FileCase(unittest.TestCase):
-    def test_what_is_wrong_is_named(self) -> None:
+    def test_invalid_operator_file_names_the_fault(self) -> None:
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
         path = folder / "own.toml"
         for text, wanted in (
@@ -120,7 +120,7 @@
     async def asyncSetUp(self) -> None:
         self.server = await StandIn().start()
         self.addCleanup(self.server.stop)
-        self.ages = Ages(8 * SECOND, 0.01)
+        self.ages = ConnectionAges(8 * SECOND, 0.01)
         listed = read_list(server_list(1, True, entry("s", self.server.address)), 0).servers
         self.servers = Servers(
             clock, 8 * SECOND, SECOND, lambda: None, lambda server: True, Figures(()), self.ages
@@ -132,21 +132,21 @@
     async def attempt(self, careful: bool = False) -> Outcome:
         return (await self.servers.attempt("s", self.head, SECOND, careful=careful)).outcome
 
-    async def test_what_must_not_run_twice_leaves_connections_that_may_be_closing(self) -> None:
+    async def test_careful_attempt_avoids_connections_that_may_be_closing(self) -> None:
         rests = self.servers.targets["s"].rests
         assert rests is not None
         for _ in range(40):
-            self.ages.ended(rests, SECOND // 20, True, clock())
+            self.ages.record(rests, SECOND // 20, True, clock())
         await self.attempt()
         await asyncio.sleep(0.035)
-        # 35 ms old: under the 50 ms at which closes were seen, over half of that.
+        # 35 ms idle: below the 50 ms at which closes were seen, above half of that.
         self.assertIs(await self.attempt(careful=True), Outcome.SERVED)
         self.assertEqual(self.server.opened, 2)
         await asyncio.sleep(0.02)
         self.assertIs(await self.attempt(), Outcome.SERVED)
         self.assertEqual(self.server.opened, 2)
 
-    async def test_a_close_or_bytes_that_came_and_were_not_read_are_seen_before_the_write(self) -> None:
+    async def test_unread_close_or_bytes_are_noticed_before_the_write(self) -> None:
         async def close(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer())
             await writer.drain()
@@ -163,7 +163,7 @@
             (connection,) = self.servers.targets["s"].idle
             await asyncio.sleep(0.015)
             assert connection.transport is not None
-            # The loop has not looked yet when the next attempt begins.
+            # The event loop has not read yet when the next attempt starts.
             connection.transport.pause_reading()
             end(self.ending)
             await asyncio.sleep(0.005)
@@ -172,7 +172,7 @@
             for left in list(self.servers.targets["s"].idle):
                 left.drop()
 
-    async def test_closes_at_rest_are_learned(self) -> None:
+    async def test_closes_of_idle_connections_are_recorded(self) -> None:
         async def close(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer())
             await asyncio.sleep(0.03)
@@ -186,9 +186,9 @@
         rests = self.servers.targets["s"].rests
         assert rests is not None
         self.assertEqual(sum(rests.closed), 12)
-        self.assertLess(self.ages.sure(rests), SECOND // 20)
+        self.assertLess(self.ages.safe_age(rests), SECOND // 20)
 
-    async def test_an_old_connection_is_not_kept(self) -> None:
+    async def test_connection_older_than_the_limit_is_closed(self) -> None:
         self.servers.oldest = 0.05
         await self.attempt()
         await asyncio.sleep(0.06)
