--- a/coraldeal/balance.py
+++ b/coraldeal/balance.py
@@ -850,7 +850,7 @@
     def _next_server(self, inquiry: Inquiry, now: int) -> Server | None:
         """Return the next server in turn that may take this inquiry's next attempt, if any."""
         subset = inquiry.subset
-        # Traffic between zones costs money and time: an unloaded node uses the servers of its own zone first.
+        # Traffic between zones is costly, so an unloaded node uses the servers of its own zone first.
         index = (
             self._find_ready(subset.local_servers, subset.next_local_turn, inquiry, now)
             if self.is_unloaded
--- a/coraldeal/list_calls.py
+++ b/coraldeal/list_calls.py
@@ -137,8 +137,8 @@
     def call_failed(self, call: int, now: float, refused: bool = False) -> float | None:
         """Record a call that ended without an answer, and return when to make the next one.
 
-        None: after the wait that the user of the plan has for failures. `refused` means that discovery answered
-        with an error, as opposed to a broken connection.
+        None: after the wait that the user of the plan has for failures. `refused` means that discovery
+        answered with an error, as opposed to a broken connection.
         """
         started_at = self.in_flight.pop(call)
         if refused:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -296,7 +296,7 @@
 
 
 def exchange(path: Path) -> None:
-    """Send the `>` lines; the output must equal the `<` lines; `!` is the exit status and a text of stderr."""
+    """Send the `>` lines; output must equal the `<` lines; `!` is the exit status and a text of stderr."""
     settings = (HERE / "wire" / "settings.json").read_text().strip()
     lines = [line.replace("SETTINGS", settings) for line in path.read_text().splitlines()]
     sent = "".join(line[2:].replace(" | ", "\t") + "\n" for line in lines if line.startswith("> "))
