--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -133,10 +133,10 @@
         return (await self.servers.attempt("s", self.head, SECOND, careful=careful)).outcome
 
     async def test_careful_attempt_avoids_connections_that_may_be_closing(self) -> None:
-        rests = self.servers.targets["s"].rests
-        assert rests is not None
+        periods = self.servers.targets["s"].rests
+        assert periods is not None
         for _ in range(40):
-            self.ages.record(rests, SECOND // 20, True, clock())
+            self.ages.record(periods, SECOND // 20, True, clock())
         await self.attempt()
         await asyncio.sleep(0.035)
         # 35 ms idle: below the 50 ms at which closes were seen, above half of that.
@@ -183,10 +183,10 @@
             self.assertIs(await self.attempt(), Outcome.SERVED)
             await until(lambda number=number: self.server.closed == number + 1)  # type: ignore[misc]
             await until(lambda: not self.servers.targets["s"].idle)
-        rests = self.servers.targets["s"].rests
-        assert rests is not None
-        self.assertEqual(sum(rests.closed), 12)
-        self.assertLess(self.ages.safe_age(rests), SECOND // 20)
+        periods = self.servers.targets["s"].rests
+        assert periods is not None
+        self.assertEqual(sum(periods.closed), 12)
+        self.assertLess(self.ages.safe_age(periods), SECOND // 20)
 
     async def test_connection_older_than_the_limit_is_closed(self) -> None:
         self.servers.oldest = 0.05
