--- a/coraldeal/__main__.py
+++ b/coraldeal/__main__.py
@@ -81,7 +81,7 @@
     print(
         f"{config.name}: listens on {config.host}:{config.port}, tier {settings.layer}, "
         f"node {settings.self_index + 1} of {settings.instances}, "
-        f"tracks {', '.join(track.name for track in settings.tracks)}, "
+        f"tracks {', '.join(track.name for track in settings.request_classes)}, "
         f"discovery {config.discovery or 'none'}, {config.sockets} descriptors, operators' door {door}"
     )
     if config.peers is not None:
--- a/coraldeal/benchlink/link.py
+++ b/coraldeal/benchlink/link.py
@@ -12,21 +12,21 @@
 
 from coraldeal.balance import Balancer
 from coraldeal.config import SettingsError, read_settings
-from coraldeal.interface import Condition, Entry, ListKind, Note, Outcome
+from coraldeal.interface import Condition, Entry, ListKind, Outcome, PeerMessage
 from coraldeal.notes import pack, unpack
 
 OUTCOMES = {
-    "10": Outcome.SATISFIED,
+    "10": Outcome.SERVED,
     "20": Outcome.ERROR,
     "30": Outcome.FULL,
     "40": Outcome.TIMEOUT,
     "50": Outcome.CONNECT_FAILED,
     "60": Outcome.RESET,
-    "70": Outcome.WITHDRAWN,
-    "80": Outcome.MOOT,
+    "70": Outcome.CANCELLED,
+    "80": Outcome.NOT_STARTED,
 }
 CONDITIONS = {"live": Condition.READY, "quiescing": Condition.DRAINING, "dead": Condition.GONE}
-KINDS = {"delta": ListKind.CHANGES, "full": ListKind.WHOLE, "cached": ListKind.REMEMBERED}
+KINDS = {"delta": ListKind.CHANGES, "full": ListKind.SNAPSHOT, "cached": ListKind.REMEMBERED}
 FLAGS = {"0": False, "1": True, "-": False}
 REPEAT_BIT = 2
 
@@ -49,17 +49,17 @@
     def send(self, inquiry: int, server: str, timeout_us: int) -> None:
         self.out.append(f"dispatch\t{inquiry}\t{server}\t{timeout_us * 1000}")
 
-    def defer(self, inquiry: int, pause_us: int) -> None:
-        self.out.append(f"decline\t{inquiry}\t{pause_us * 1000}")
+    def reject(self, inquiry: int, retry_after_us: int) -> None:
+        self.out.append(f"decline\t{inquiry}\t{retry_after_us * 1000}")
 
-    def give_up(self, inquiry: int) -> None:
+    def fail(self, inquiry: int) -> None:
         self.out.append(f"error\t{inquiry}")
 
-    def withdraw(self, inquiry: int, attempt: int) -> None:
+    def cancel(self, inquiry: int, attempt: int) -> None:
         self.out.append(f"withdraw\t{inquiry}\t{attempt}")
 
-    def tell(self, peer: int, note: Note) -> None:
-        self.out.append(f"share\t{peer}\t{pack(note).hex()}")
+    def send_to_peer(self, peer: int, message: PeerMessage) -> None:
+        self.out.append(f"share\t{peer}\t{pack(message).hex()}")
 
     def wake(self, token: str, after_us: int) -> None:
         self.out.append(f"schedule\t{token}\t{after_us * 1000}")
@@ -217,7 +217,7 @@
 
     def hangup(self, rest: str) -> None:
         (inquiry,) = self._fields(rest, 1)
-        self._current().client_left(int(inquiry))
+        self._current().client_disconnected(int(inquiry))
 
     def bell(self, rest: str) -> None:
         (token,) = self._fields(rest, 1)
@@ -239,7 +239,7 @@
                 self._current().host.log(f"a message from node {peer} cannot be read: {words[:40]}")
             self.noted = True
             return
-        self._current().note_came(int(peer), note)
+        self._current().peer_message_received(int(peer), note)
 
 
 def _report(gauge: str) -> dict[str, float] | None:
--- a/coraldeal/config.py
+++ b/coraldeal/config.py
@@ -15,9 +15,13 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from coraldeal.interface import Effect, Group, Settings, Tenant, Track
+from coraldeal.interface import Effect, Group, RequestClass, Settings, Tenant
 
-EFFECTS = {"retryable": Effect.REDOABLE, "dedup": Effect.LABELLED, "fragile": Effect.IRREVERSIBLE}
+EFFECTS = {
+    "retryable": Effect.IDEMPOTENT,
+    "dedup": Effect.IDEMPOTENT_BY_KEY,
+    "fragile": Effect.NOT_IDEMPOTENT,
+}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 # What a track may lack though all of those before it had it: with another effect it has neither window nor
@@ -135,18 +139,18 @@
         return list(self._get(key, (list,), "a list"))
 
 
-def _track(reader: _Reader) -> Track:
+def _track(reader: _Reader) -> RequestClass:
     effect = reader.word("effect", EFFECTS)
-    labelled = effect is Effect.LABELLED
-    return Track(
+    labelled = effect is Effect.IDEMPOTENT_BY_KEY
+    return RequestClass(
         name=reader.text("name"),
         effect=effect,
         group=reader.word("group", GROUPS) if labelled else Group.ALL,
-        window_us=reader.micros("window_ns") if labelled else 0,
-        expected_time_us=max(1, reader.above_zero("expected_time_ns") // 1000),
-        patience_us=max(1, reader.above_zero("patience_ns") // 1000),
-        payoff=reader.number("payoff"),
-        late_payoff=reader.number("late_payoff"),
+        dedup_window_us=reader.micros("window_ns") if labelled else 0,
+        latency_target_us=max(1, reader.above_zero("expected_time_ns") // 1000),
+        deadline_us=max(1, reader.above_zero("patience_ns") // 1000),
+        worth=reader.number("payoff"),
+        late_worth=reader.number("late_payoff"),
         # Sorted, so that what is bound alike is seen to be.
         zones=tuple(sorted(reader.texts("allowed_in"))),
         kinds=tuple(sorted(reader.texts("shapes_open"))),
@@ -178,24 +182,24 @@
         instances=max(1, top.whole("instances")),
         tick_us=top.micros("tick_ns"),
         zone=top.text("zone"),
-        tracks=[_track(reader) for reader in top.parts("tracks", track_defaults)],
+        request_classes=[_track(reader) for reader in top.parts("tracks", track_defaults)],
         tenants=[_tenant(reader) for reader in top.parts("tenants")],
-        beyond_share_payoff=top.number("beyond_share_payoff"),
-        list_is_asked=asked,
-        ask_every_us=rules.micros("ask_every_ns") if asked else 0,
+        beyond_share_worth=top.number("beyond_share_payoff"),
+        list_is_pulled=asked,
+        pull_interval_us=rules.micros("ask_every_ns") if asked else 0,
         max_attempts=bounds.above_zero("max_trips"),
-        may_withdraw=bounds.flag("cancel"),
-        may_advise_pause=bounds.flag("retry_after"),
-        max_pause_us=bounds.micros("max_retry_after_ns"),
-        cold_from=rules.number("cold_from"),
-        warm_after_us=rules.micros("warm_after_ns"),
-        fall_multiple=rules.number("fall_multiple"),
-        fall_us=rules.micros("fall_ns"),
+        may_cancel=bounds.flag("cancel"),
+        may_send_retry_after=bounds.flag("retry_after"),
+        max_retry_after_us=bounds.micros("max_retry_after_ns"),
+        cold_capacity=rules.number("cold_from"),
+        warm_up_us=rules.micros("warm_after_ns"),
+        crash_multiple=rules.number("fall_multiple"),
+        crash_window_us=rules.micros("fall_ns"),
         report_fields=[str(name) for name in reporting.values.get("fields") or []],
         peers=max(1, top.whole("instances")) if bounds.flag("peers") else 0,
         peer_index=top.whole("self_index"),
     )
-    names = [track.name for track in settings.tracks]
+    names = [track.name for track in settings.request_classes]
     if twice := [name for place, name in enumerate(names) if name in names[:place]]:
         raise SettingsError(f"setting {top.path}tracks names {twice[0]!r} twice")
     return settings
--- a/coraldeal/net/carrier.py
+++ b/coraldeal/net/carrier.py
@@ -12,7 +12,7 @@
 import logging
 from collections.abc import Callable
 
-from coraldeal.interface import Note
+from coraldeal.interface import PeerMessage
 from coraldeal.notes import pack, unpack
 
 log = logging.getLogger("coraldeal.carrier")
@@ -25,7 +25,7 @@
     """One socket, bound to this node's own place among `nodes` (address and port by number)."""
 
     def __init__(
-        self, nodes: tuple[tuple[str, int], ...], me: int, came: Callable[[int, Note], None]
+        self, nodes: tuple[tuple[str, int], ...], me: int, came: Callable[[int, PeerMessage], None]
     ) -> None:
         self.nodes = nodes
         self.me = me
@@ -68,7 +68,7 @@
         if self.transport is not None:
             self.transport.close()
 
-    def tell(self, peer: int, note: Note) -> None:
+    def tell(self, peer: int, note: PeerMessage) -> None:
         """Send, or drop where the socket takes no more: a later note tells the same anew."""
         transport = self.transport
         if transport is None or transport.is_closing() or self.full:
--- a/coraldeal/net/desk.py
+++ b/coraldeal/net/desk.py
@@ -25,7 +25,7 @@
         balancer, counts = node.balancer, node.figures
         # The others are left out, draining or at rest.
         now = node.host.now
-        in_rotation = sum(server.rest_until <= now for server in balancer.servers.values())
+        in_rotation = sum(server.ejected_until <= now for server in balancer.servers.values())
         carrier = node.host.carrier
         notes = {}
         if carrier is not None:
@@ -53,13 +53,13 @@
         }
 
     def leave_out(self, server: ServerId) -> bool:
-        known = self.node.balancer.leave_out(server)
+        known = self.node.balancer.start_maintenance(server)
         if known and self.node.succession is not None:
             self.node.succession.link.left_out(server)
         return known
 
     def put_back(self, server: ServerId) -> bool:
-        known = self.node.balancer.put_back(server)
+        known = self.node.balancer.end_maintenance(server)
         if known and self.node.succession is not None:
             self.node.succession.link.put_back(server)
         return known
--- a/coraldeal/net/discovery.py
+++ b/coraldeal/net/discovery.py
@@ -55,10 +55,10 @@
     further, most = (FURTHER_AFTER_AT_AGENT, MOST_OUT_AT_AGENT) if has_agent else (FURTHER_AFTER, MOST_OUT)
     return CallLimits(
         hung_after=ANSWER_WAIT,
-        further_after=further,
-        most_out=1 if has_sources else most,
-        always_further=has_agent,
-        waited_long=WAITED_LONG,
+        extra_call_after=further,
+        max_in_flight=1 if has_sources else most,
+        always_extra=has_agent,
+        long_call=WAITED_LONG,
     )
 
 
@@ -127,7 +127,7 @@
             self.superseded.pop(number).cancel()
         self._schedule(None)
         loop = asyncio.get_running_loop()
-        due = self.plan.moved(loop.time())
+        due = self.plan.address_changed(loop.time())
         if address is None:
             return
         if due <= loop.time():
@@ -154,8 +154,8 @@
         times = CallTimes(CONNECT_WAIT, ANSWER_WAIT, SILENCE, answer_wait)
         call = ListCall(self.made, self.address, url, self.version, times, self)
         self.calls[call.number] = call
-        self.plan.begun(call.number, now)
-        self._schedule(self.plan.further_at())
+        self.plan.call_started(call.number, now)
+        self._schedule(self.plan.extra_call_at())
         if self.superseded:
             asyncio.get_running_loop().call_later(SUPERSEDED_WAIT, self._close_superseded)
         call.start()
@@ -204,7 +204,7 @@
         if self.watch is not None or call.number not in self.calls:
             return
         self.watch = call
-        self.plan.answered(call.number, asyncio.get_running_loop().time())
+        self.plan.call_answered(call.number, asyncio.get_running_loop().time())
         self._schedule(None)
         del self.calls[call.number]
         for other in [*self.calls.values(), *self.superseded.values()]:
@@ -234,7 +234,7 @@
             self.watch = None
             next_at = self.plan.watch_ended(call.began_at, now, end.fell_silent)
         else:
-            next_at = self.plan.failed(call.number, now, end.refused)
+            next_at = self.plan.call_failed(call.number, now, end.refused)
         if self.sources:
             self._go_on(call, end)
         elif next_at is None:
--- a/coraldeal/net/host.py
+++ b/coraldeal/net/host.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from coraldeal.balance import Balancer
-from coraldeal.interface import InquiryId, Note, ServerId
+from coraldeal.interface import InquiryId, PeerMessage, ServerId
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.inquiry import Inquiries, Send
 from coraldeal.net.wire import Answer, deferral, failure
@@ -46,20 +46,20 @@
     def send(self, inquiry: InquiryId, server: ServerId, timeout_us: int) -> None:
         self._choose(inquiry, Send(server, timeout_us, self.now))
 
-    def defer(self, inquiry: InquiryId, pause_us: int) -> None:
-        self._choose(inquiry, deferral(pause_us))
+    def reject(self, inquiry: InquiryId, retry_after_us: int) -> None:
+        self._choose(inquiry, deferral(retry_after_us))
 
-    def give_up(self, inquiry: InquiryId) -> None:
+    def fail(self, inquiry: InquiryId) -> None:
         self._choose(inquiry, failure())
 
-    def withdraw(self, inquiry: InquiryId, attempt: int) -> None:
+    def cancel(self, inquiry: InquiryId, attempt: int) -> None:
         known = self.inquiries.in_hand.get(inquiry)
         if known is not None:
             known.withdraw(attempt)
 
-    def tell(self, peer: int, note: Note) -> None:
+    def send_to_peer(self, peer: int, message: PeerMessage) -> None:
         if self.carrier is not None:
-            self.carrier.tell(peer, note)
+            self.carrier.tell(peer, message)
 
     def wake(self, token: str, after_us: int) -> None:
         self.loop.call_later(after_us / 1e6, self._alarm, token)
--- a/coraldeal/net/inquiry.py
+++ b/coraldeal/net/inquiry.py
@@ -155,7 +155,7 @@
                         return choice
                     inquiry.server = choice.server
                     if inquiry.withdrawn:
-                        end = AttemptEnd(Outcome.MOOT, 0)
+                        end = AttemptEnd(Outcome.NOT_STARTED, 0)
                     else:
                         inquiry.begun = False
                         inquiry.attempt = loop.create_task(
@@ -166,20 +166,20 @@
                         end = await asyncio.shield(inquiry.attempt)
                     inquiry.attempt = None
                     inquiry.choice = loop.create_future()
-                    if call.rest is not None and end.outcome is not Outcome.SATISFIED:
+                    if call.rest is not None and end.outcome is not Outcome.SERVED:
                         if call.rest.fault is not None:
                             # The caller's own doing says nothing of the server.
                             self._attempt_ended(inquiry, end, over=True)
                             return Answer(call.rest.fault.status)
                         if call.rest.begun:
                             # No further attempt can carry all of it.
-                            balancer.body_spent(name)
+                            balancer.body_not_replayable(name)
                     if inquiry.left:
                         # Found out as its attempt was to begin; nobody hears this.
                         self._attempt_ended(inquiry, end, over=True)
                         return failure(499)
-                    self._attempt_ended(inquiry, end, over=end.outcome is Outcome.SATISFIED)
-                    if end.outcome is Outcome.SATISFIED and end.answer is not None:
+                    self._attempt_ended(inquiry, end, over=end.outcome is Outcome.SERVED)
+                    if end.outcome is Outcome.SERVED and end.answer is not None:
                         return end.answer
         except TimeoutError:
             log.warning("patience over unanswered", extra={"pairs": {"inquiry": name, "track": call.track}})
@@ -205,7 +205,7 @@
         assert balancer is not None
 
         def may_begin() -> bool:
-            return balancer.may_begin(inquiry.name) and inquiry.begin()
+            return balancer.may_start_attempt(inquiry.name) and inquiry.begin()
 
         if call.rest is None:
 
@@ -222,7 +222,7 @@
                 may_begin=may_begin,
             )
         first_piece = call.written(min(choice.timeout_us, wait_us))
-        balancer.body_coming(inquiry.name)
+        balancer.body_stream_started(inquiry.name)
         timer.reschedule(None)
 
         def count_again() -> None:
@@ -233,7 +233,7 @@
 
         def sent() -> None:
             count_again()
-            balancer.body_sent(inquiry.name)
+            balancer.body_stream_ended(inquiry.name)
 
         try:
             return await self.servers.attempt(
@@ -264,7 +264,7 @@
         """The client is gone: tell the module, and the end of an attempt that is still out when it comes."""
         assert self.balancer is not None
         inquiry.left = True
-        self.balancer.client_left(inquiry.name)
+        self.balancer.client_disconnected(inquiry.name)
         choice = inquiry.choice
         if inquiry.attempt is not None:
             if not inquiry.begun:
@@ -273,7 +273,7 @@
             inquiry.attempt.add_done_callback(lambda attempt: self._late_end(inquiry, attempt))
         elif choice.done() and not choice.cancelled() and isinstance(choice.result(), Send):
             # Chosen but never begun.
-            self._attempt_ended(inquiry, AttemptEnd(Outcome.MOOT, 0), over=True)
+            self._attempt_ended(inquiry, AttemptEnd(Outcome.NOT_STARTED, 0), over=True)
 
     def _over(self, inquiry: Inquiry) -> None:
         if self.in_hand.pop(inquiry.name, None) is not None:
--- a/coraldeal/net/node.py
+++ b/coraldeal/net/node.py
@@ -28,7 +28,7 @@
 
 if TYPE_CHECKING:
     from coraldeal.admin.listener import Door
-    from coraldeal.connections.ages import Ages
+    from coraldeal.connections.ages import ConnectionAges
     from coraldeal.net.succession import Succession
     from coraldeal.operator import OperatorFile
 
@@ -56,7 +56,7 @@
 
 
 def _irreversible(settings: Settings) -> dict[str, None]:
-    return {track.name: None for track in settings.tracks if track.effect is Effect.IRREVERSIBLE}
+    return {track.name: None for track in settings.request_classes if track.effect is Effect.NOT_IDEMPOTENT}
 
 
 def _read_list(values: Any) -> ServerList:
@@ -95,7 +95,7 @@
         self.part = 1.0
         self._share_out(config.sockets)
         settings = config.settings
-        self.figures = Figures(track.name for track in settings.tracks)
+        self.figures = Figures(track.name for track in settings.request_classes)
         self.servers = Servers(
             clock,
             config.conn_idle_us,
@@ -107,7 +107,7 @@
         )
         self.inquiries = Inquiries(self.servers)
         self.inquiries.irreversible = _irreversible(settings)
-        patience = {track.name: track.patience_us for track in settings.tracks}
+        patience = {track.name: track.deadline_us for track in settings.request_classes}
         live = self.inquiries.live
         self.callers = Callers(
             patience, live, self._is_ready, self._is_crowded, self._make_room, self.figures
@@ -123,7 +123,7 @@
             self._list_failed,
             *self._lists(own),
             str(config.seed),
-            has_agent=not settings.list_is_asked,
+            has_agent=not settings.list_is_pulled,
         )
         self.host = LoopHost(self.inquiries, self.discovery)
         self.balancer = Balancer(self.host, settings, config.seed)
@@ -136,13 +136,13 @@
         self.door: Door | None = None
         self.succession: Succession | None = None
 
-    def _connections(self, own: OperatorFile | None) -> tuple[Ages | None, float]:
+    def _connections(self, own: OperatorFile | None) -> tuple[ConnectionAges | None, float]:
         """What the operator's own file asks of connections to servers."""
         if own is None or not own.connections.learn:
             return None, own.connections.oldest_seconds if own is not None else 0.0
-        from coraldeal.connections.ages import Ages
+        from coraldeal.connections.ages import ConnectionAges
 
-        return Ages(self.config.conn_idle_us, own.connections.risk), own.connections.oldest_seconds
+        return ConnectionAges(self.config.conn_idle_us, own.connections.risk), own.connections.oldest_seconds
 
     def _lists(self, own: OperatorFile | None) -> tuple[Sequence[str], Sequence[str]]:
         """The services asked for and the sources, where the operator's own file names them."""
@@ -161,12 +161,14 @@
             known = _read_list(self.config.known)
             self.discovery.version = known.version
             self.take_list(known, ListKind.REMEMBERED)
-        if not self.config.settings.list_is_asked:
+        if not self.config.settings.list_is_pulled:
             self.discovery.follow()
         if self.config.peers is not None:
             from coraldeal.net.carrier import Carrier
 
-            carrier = Carrier(self.config.peers, self.config.settings.peer_index, self.balancer.note_came)
+            carrier = Carrier(
+                self.config.peers, self.config.settings.peer_index, self.balancer.peer_message_received
+            )
             await carrier.open()
             self.host.carrier = carrier
         await self._listen()
@@ -220,13 +222,13 @@
         if new.settings != old.settings:
             # Inquiries in hand keep the rules that they came with.
             self.balancer.settings_changed(new.settings)
-            self.callers.tracks = {track.name: track.patience_us for track in new.settings.tracks}
+            self.callers.tracks = {track.name: track.deadline_us for track in new.settings.request_classes}
             self.figures.know(self.callers.tracks)
             self.inquiries.irreversible = _irreversible(new.settings)
         self.servers.go_by(new.conn_idle_us, new.connect_timeout_us)
         if new.discovery != old.discovery and not self.discovery.sources:
             self.discovery.move(new.discovery)
-        if not new.settings.list_is_asked:
+        if not new.settings.list_is_pulled:
             self.discovery.follow()
         # All else shapes what was made at the start.
         waiting = [key for key in RESTART_KEYS if getattr(new, key) != getattr(old, key)]
@@ -245,9 +247,9 @@
             self.host.carrier.close()
         if self.succession is not None:
             self.succession.link.terms.told_to_end()
-        tracks = self.config.settings.tracks
-        longest = max((track.patience_us for track in tracks), default=0)
-        expected = max((track.expected_time_us for track in tracks), default=0)
+        tracks = self.config.settings.request_classes
+        longest = max((track.deadline_us for track in tracks), default=0)
+        expected = max((track.latency_target_us for track in tracks), default=0)
         # No later than this the platform may kill.
         end = clock() + min(longest, int(END_PATIENCE * 1e6)) + int(END_SLACK * 1e6)
         self.inquiries.end_by(end)
@@ -305,7 +307,7 @@
         """While two processes are this node, each keeps to its part of what the node may do."""
         self.part = part
         self._share_out(self.config.sockets)
-        self.balancer.take_part(part)
+        self.balancer.set_share(part)
 
     def _share_out(self, sockets: int) -> None:
         sockets = int(sockets * self.part)
@@ -330,10 +332,10 @@
         self.has_list = True
         lost = self.servers.learn(told.servers, told.whole)
         self.rewatch_wait = REWATCH_LEAST
-        kind = kind or (ListKind.WHOLE if told.whole else ListKind.CHANGES)
+        kind = kind or (ListKind.SNAPSHOT if told.whole else ListKind.CHANGES)
         gone = [Entry(server, "", 0, Condition.GONE, 0) for server in lost]
         before = dict.fromkeys(self.balancer.servers)
-        entries = self.starts.place((listed.entry for listed in told.servers), told.started_ms, clock())
+        entries = self.starts.resolve((listed.entry for listed in told.servers), told.started_ms, clock())
         self.balancer.servers_listed(kind, gone + entries)
         self._log_changes(before, told.version)
 
@@ -349,7 +351,7 @@
     def _list_failed(self) -> None:
         if self.phase is Phase.ENDED:
             return
-        if self.config.settings.list_is_asked:
+        if self.config.settings.list_is_pulled:
             self.balancer.list_failed()
             return
         # Where the list is to come by itself the module does not ask for it: the watch is the network's.
--- a/coraldeal/net/servers.py
+++ b/coraldeal/net/servers.py
@@ -37,7 +37,7 @@
 )
 
 if TYPE_CHECKING:
-    from coraldeal.connections.ages import Ages, Rests
+    from coraldeal.connections.ages import ConnectionAges, IdlePeriods
 
 log = logging.getLogger(__name__)
 
@@ -228,7 +228,7 @@
         # At rest, the one used last at the end.
         self.idle: list[Connection] = []
         # What is learned of its rests, where that is asked for.
-        self.rests: Rests | None = None
+        self.rests: IdlePeriods | None = None
 
     def close_idle(self) -> None:
         for connection in list(self.idle):
@@ -246,7 +246,7 @@
         make_room: Callable[[], None],
         may_send: Callable[[ServerId], bool],
         figures: Figures,
-        ages: Ages | None = None,
+        ages: ConnectionAges | None = None,
         oldest: float = 0.0,
     ) -> None:
         # What is learned of closes, and after how many seconds a connection is too old.
@@ -299,12 +299,12 @@
         """Up to which age, in seconds, a connection at rest may be used again."""
         if self.ages is None or target.rests is None:
             return self.keep_idle
-        age = self.ages.sure(target.rests) if careful else self.ages.usable(target.rests)
+        age = self.ages.safe_age(target.rests) if careful else self.ages.usable_age(target.rests)
         return min(self.keep_idle, age / 1e6)
 
     def rest_ended(self, target: Target, rested: float, closed: bool) -> None:
         if self.ages is not None and target.rests is not None:
-            self.ages.ended(target.rests, int(rested * 1e6), closed, self.clock())
+            self.ages.record(target.rests, int(rested * 1e6), closed, self.clock())
 
     def _is_old(self, connection: Connection) -> bool:
         """Whether its age is over; by chance up to a quarter sooner, so that not all go at once."""
@@ -354,7 +354,7 @@
             self.targets[server] = Target(address)
             self.standing[address] = server
             if self.ages is not None:
-                self.targets[server].rests = self.ages.server()
+                self.targets[server].rests = self.ages.new_server()
         return lost
 
     def _remove(self, server: ServerId) -> None:
@@ -396,9 +396,9 @@
                 connection = await self._connect(target, careful)
                 if not (target.listed and self.may_send(server)):
                     # It drains, was left out, or stands elsewhere now: told between choice and first byte.
-                    return AttemptEnd(Outcome.MOOT, self.clock() - started)
+                    return AttemptEnd(Outcome.NOT_STARTED, self.clock() - started)
                 if not may_begin():
-                    return AttemptEnd(Outcome.MOOT, self.clock() - started)
+                    return AttemptEnd(Outcome.NOT_STARTED, self.clock() - started)
                 text = message if isinstance(message, bytes) else message()
                 connection.set_response_params(
                     auto_decompress=False,
@@ -424,16 +424,16 @@
             report = read_report(fields.get("Srv-Load"))
             outcome, answer = read_answer(status, fields, raw, body, rest)
         except (Spoilt, aiohttp.SocketTimeoutError, aiohttp.http.HttpProcessingError):
-            outcome = Outcome.SPOILT
+            outcome = Outcome.MALFORMED
         except TimeoutError:
             if handed_over and not _bytes_left(connection):
                 outcome = Outcome.TIMEOUT
         except OwnFailure:
             # It says nothing of the server, and nothing was written.
-            outcome = Outcome.MOOT
+            outcome = Outcome.NOT_STARTED
         except (asyncio.CancelledError, BadCall):
             # Stopped, or its caller's body ended early.
-            outcome = Outcome.WITHDRAWN
+            outcome = Outcome.CANCELLED
         except (OSError, aiohttp.ClientError):
             # Proved not run only if the last byte was never written; of a body it may be out though who
             # passes it on has not come round to saying so.
@@ -460,7 +460,7 @@
             return AttemptEnd(Outcome.CONNECT_FAILED, 0)
         message = probe_bytes(target.address, with_report)
         end = await self.attempt(server, message, self.probe_wait_us, is_probe=True)
-        if end.outcome is Outcome.SATISFIED and with_report and end.answer is not None:
+        if end.outcome is Outcome.SERVED and with_report and end.answer is not None:
             text = end.answer.body.decode("latin-1").strip()
             return AttemptEnd(end.outcome, end.latency_us, read_report(text) or end.report)
         return end
--- a/coraldeal/net/succession.py
+++ b/coraldeal/net/succession.py
@@ -62,7 +62,16 @@
         node = self.node
         addresses = {name: target.address for name, target in node.servers.targets.items()}
         servers = [
-            (e.server, e.zone, e.cell, e.condition.value, e.born_us, addresses[e.server], e.size, e.kind)
+            (
+                e.server,
+                e.zone,
+                e.cell,
+                e.condition.value,
+                e.started_at_us,
+                addresses[e.server],
+                e.size,
+                e.kind,
+            )
             for e in node.balancer.listed.values()
             if e.server in addresses
         ]
@@ -73,10 +82,10 @@
         return self.node.callers.descriptor()
 
     def told_left_out(self, server: str) -> None:
-        self.node.balancer.leave_out(server, sure=True)
+        self.node.balancer.start_maintenance(server, force=True)
 
     def told_put_back(self, server: str) -> None:
-        self.node.balancer.put_back(server)
+        self.node.balancer.end_maintenance(server)
 
     # What the terms ask.
 
--- a/coraldeal/net/wire.py
+++ b/coraldeal/net/wire.py
@@ -202,7 +202,7 @@
     if status == 200:
         kept = _kept(raw, NOT_TO_CALLERS)
         headers = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in kept)
-        return Outcome.SATISFIED, Answer(200, body, headers, rest)
+        return Outcome.SERVED, Answer(200, body, headers, rest)
     declined = status in (503, 504) and fields.get("Srv-Declined") == "1"
     return (Outcome.FULL if declined else Outcome.ERROR), Answer(status)
 
@@ -309,7 +309,7 @@
             cell=int(item.get("cell") or 0),
             # A word not known here must not end the watch; what is not said to be ready gets nothing new.
             condition=CONDITIONS.get(item["lifecycle"], Condition.DRAINING),
-            born_us=max(1, started * 1000 - offset_us) if started else 0,
+            started_at_us=max(1, started * 1000 - offset_us) if started else 0,
             size=_size(item.get("weight")),
             kind=str(item.get("machineType") or ""),
         )
--- a/coraldeal/rig/baseline.py
+++ b/coraldeal/rig/baseline.py
@@ -20,11 +20,11 @@
     Host,
     InquiryId,
     ListKind,
-    Note,
     Outcome,
+    PeerMessage,
+    RequestClass,
     ServerId,
     Settings,
-    Track,
 )
 from coraldeal.net import node as node_module
 
@@ -36,7 +36,7 @@
 
     __slots__ = ("attempts", "end", "name", "out", "ran_on", "track")
 
-    def __init__(self, name: InquiryId, track: Track, end: int) -> None:
+    def __init__(self, name: InquiryId, track: RequestClass, end: int) -> None:
         self.name = name
         self.track = track
         self.end = end
@@ -54,14 +54,14 @@
         self.settings = settings
         self.seed = seed
         self.draws = 0
-        self.tracks = {track.name: track for track in settings.tracks}
+        self.tracks = {track.name: track for track in settings.request_classes}
         self.front = settings.layer == 0
         self.servers: dict[ServerId, Entry] = {}
         self.names: list[ServerId] = []
         self.load: dict[ServerId, int] = {}
         self.asked: dict[InquiryId, _Asked] = {}
         self.turn = 0
-        if settings.list_is_asked:
+        if settings.list_is_pulled:
             host.wake("list", 1000)
 
     def chance(self) -> float:
@@ -83,7 +83,7 @@
         left = asked.end - self.host.now
         names = self.names
         first = asked.ran_on
-        if first is not None and asked.track.effect is Effect.LABELLED:
+        if first is not None and asked.track.effect is Effect.IDEMPOTENT_BY_KEY:
             names = [name for name in names if self.servers[name].cell == first.cell]
         if left <= 0 or not names or asked.attempts >= self.settings.max_attempts:
             self.conclude(asked)
@@ -95,11 +95,11 @@
 
     def conclude(self, asked: _Asked) -> None:
         del self.asked[asked.name]
-        harmless = asked.ran_on is None or asked.track.effect is Effect.REDOABLE
+        harmless = asked.ran_on is None or asked.track.effect is Effect.IDEMPOTENT
         if self.front and harmless:
-            self.host.defer(asked.name, 0)
+            self.host.reject(asked.name, 0)
         else:
-            self.host.give_up(asked.name)
+            self.host.fail(asked.name)
 
     def attempt_ended(
         self,
@@ -121,30 +121,30 @@
             return
         if not outcome.proved_not_run and asked.ran_on is None:
             asked.ran_on = self.servers.get(server) or Entry(server, "", -1, Condition.GONE, 0)
-        if asked.ran_on is not None and asked.track.effect is Effect.IRREVERSIBLE:
+        if asked.ran_on is not None and asked.track.effect is Effect.NOT_IDEMPOTENT:
             self.conclude(asked)
         else:
             self.go(asked)
 
-    def may_begin(self, name: InquiryId) -> bool:
+    def may_start_attempt(self, inquiry_id: InquiryId) -> bool:
         return True
 
     def may_send(self, server: ServerId) -> bool:
         return server in self.servers
 
-    def client_left(self, name: InquiryId) -> None:
+    def client_disconnected(self, name: InquiryId) -> None:
         asked = self.asked.pop(name, None)
         if asked is not None and asked.out is not None:
             if asked.out in self.load:
                 self.load[asked.out] -= 1
-            if self.settings.may_withdraw:
-                self.host.withdraw(name, asked.attempts - 1)
+            if self.settings.may_cancel:
+                self.host.cancel(name, asked.attempts - 1)
 
     def alarm(self, token: str) -> None:
         if token == "list":
             self.host.follow_list()
 
-    def note_came(self, peer: int, note: Note) -> None:
+    def peer_message_received(self, peer: int, message: PeerMessage) -> None:
         """Baselines send no notes and heed none."""
 
     def list_failed(self) -> None:
@@ -193,7 +193,7 @@
         over: bool,
         report: dict[str, float] | None,
     ) -> None:
-        told = outcome if outcome is Outcome.SATISFIED else Outcome.CONNECT_FAILED
+        told = outcome if outcome is Outcome.SERVED else Outcome.CONNECT_FAILED
         super().attempt_ended(name, number, told, latency_us, over, report)
 
 
@@ -219,7 +219,7 @@
     """Planted fault: all goes to the server that has started last."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
-        return max(names, key=lambda name: (self.servers[name].born_us, name))
+        return max(names, key=lambda name: (self.servers[name].started_at_us, name))
 
 
 POLICIES: dict[str, type[Plain]] = {
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -19,7 +19,7 @@
 
 from coraldeal.balance import Balancer
 from coraldeal.config import NodeConfig, node_config
-from coraldeal.interface import Condition, Entry, InquiryId, ListKind, Note, ServerId
+from coraldeal.interface import Condition, Entry, InquiryId, ListKind, PeerMessage, ServerId
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
@@ -103,7 +103,7 @@
         before = self.balancer.listed
         lost = self.servers.learn(told.servers, told.whole)
         self.rewatch_wait = REWATCH_LEAST
-        kind = ListKind.WHOLE if told.whole else ListKind.CHANGES
+        kind = ListKind.SNAPSHOT if told.whole else ListKind.CHANGES
         gone = [Entry(server, "", 0, Condition.GONE, 0) for server in lost]
         self.balancer.servers_listed(kind, gone + [listed.entry for listed in told.servers])
         self.write_down(told, before)
@@ -156,13 +156,13 @@
 
     def send(self, inquiry: InquiryId, server: ServerId, timeout_us: int) -> None: ...
 
-    def defer(self, inquiry: InquiryId, pause_us: int) -> None: ...
+    def reject(self, inquiry: InquiryId, retry_after_us: int) -> None: ...
 
-    def give_up(self, inquiry: InquiryId) -> None: ...
+    def fail(self, inquiry: InquiryId) -> None: ...
 
-    def withdraw(self, inquiry: InquiryId, attempt: int) -> None: ...
+    def cancel(self, inquiry: InquiryId, attempt: int) -> None: ...
 
-    def tell(self, peer: int, note: Note) -> None: ...
+    def send_to_peer(self, peer: int, message: PeerMessage) -> None: ...
 
     def wake(self, token: str, after_us: int) -> None:
         self.loop.call_later(after_us / 1e6, self._alarm, token)
--- a/coraldeal/rig/scale/run.py
+++ b/coraldeal/rig/scale/run.py
@@ -57,7 +57,7 @@
 SPARE_FILES = 200
 # Inquiries a second at each real node.
 RATE_REAL = 10.0
-# With no more nodes than this each sends to all servers (`COMPANY` in coraldeal.balance).
+# With no more nodes than this each sends to all servers (`NODES_PER_SERVER` in coraldeal.balance).
 ALL_SENT = 4
 # After the last change every node has this long until it is judged.
 SETTLE, SETTLE_MOST = 6.0, 60.0
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -32,10 +32,10 @@
     Entry,
     Group,
     ListKind,
-    Note,
-    NoteKind,
+    PeerMessage,
+    PeerMessageKind,
+    RequestClass,
     Settings,
-    Track,
 )
 from coraldeal.net.carrier import Carrier
 from coraldeal.net.figures import Figures
@@ -103,8 +103,8 @@
     return None
 
 
-def _track(number: int) -> Track:
-    return Track(f"track-{number}", Effect.REDOABLE, Group.ALL, 0, SECOND // 2, SECOND, 1.0, 0.0)
+def _track(number: int) -> RequestClass:
+    return RequestClass(f"track-{number}", Effect.IDEMPOTENT, Group.ALL, 0, SECOND // 2, SECOND, 1.0, 0.0)
 
 
 def _settings(tracks: int = 2, instances: int = NODES) -> Settings:
@@ -114,19 +114,19 @@
         self_index=instances // 3,
         tick_us=1_000,
         zone="zone-0",
-        tracks=[_track(number) for number in range(tracks)],
+        request_classes=[_track(number) for number in range(tracks)],
         tenants=[],
-        beyond_share_payoff=0.05,
-        list_is_asked=False,
-        ask_every_us=10 * SECOND,
+        beyond_share_worth=0.05,
+        list_is_pulled=False,
+        pull_interval_us=10 * SECOND,
         max_attempts=3,
-        may_withdraw=True,
-        may_advise_pause=True,
-        max_pause_us=SECOND,
-        cold_from=0.25,
-        warm_after_us=8 * SECOND,
-        fall_multiple=2.0,
-        fall_us=SECOND,
+        may_cancel=True,
+        may_send_retry_after=True,
+        max_retry_after_us=SECOND,
+        cold_capacity=0.25,
+        warm_up_us=8 * SECOND,
+        crash_multiple=2.0,
+        crash_window_us=SECOND,
     )
 
 
@@ -176,7 +176,7 @@
 
 def _balancer(count: int, instances: int = NODES) -> Balancer:
     balancer = Balancer(_StillHost(), _settings(instances=instances), 7)
-    balancer.servers_listed(ListKind.WHOLE, [_entry(number) for number in range(count)])
+    balancer.servers_listed(ListKind.SNAPSHOT, [_entry(number) for number in range(count)])
     return balancer
 
 
@@ -184,7 +184,7 @@
     """The decisions' part of a whole list, all of it known already."""
     balancer = _balancer(count)
     entries = [_entry(number) for number in range(count)]
-    return _cost_us(lambda: balancer.servers_listed(ListKind.WHOLE, entries))
+    return _cost_us(lambda: balancer.servers_listed(ListKind.SNAPSHOT, entries))
 
 
 def _change(count: int, instances: int) -> float:
@@ -248,7 +248,7 @@
             listed = _listed(count)
             servers.learn(listed, whole=True)
             balancer = Balancer(_StillHost(), _settings(), 7)
-            balancer.servers_listed(ListKind.WHOLE, [one.entry for one in listed])
+            balancer.servers_listed(ListKind.SNAPSHOT, [one.entry for one in listed])
             del listed
             return float(tracemalloc.get_traced_memory()[0] - before)
         finally:
@@ -402,7 +402,7 @@
         nodes = (("127.0.0.1", _free_port()), ("127.0.0.1", _free_port()))
         carrier = Carrier(nodes, 0, lambda number, note: None)
         await carrier.open()
-        note = Note(NoteKind.ASK, 77, 3)
+        note = PeerMessage(PeerMessageKind.ASK, 77, 3)
         begun = time.thread_time_ns()
         for _ in range(count):
             carrier.tell(1, note)
@@ -423,7 +423,7 @@
         came = 0
         done = asyncio.Event()
 
-        def take(number: int, note: Note) -> None:
+        def take(number: int, note: PeerMessage) -> None:
             nonlocal came
             came += 1
             if came == count:
@@ -436,7 +436,7 @@
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
                 peer.bind(nodes[1])
                 for _ in range(count):
-                    peer.sendto(pack(Note(NoteKind.ASK, 77, 3)), nodes[0])
+                    peer.sendto(pack(PeerMessage(PeerMessageKind.ASK, 77, 3)), nodes[0])
                     time.sleep(0.001)
 
         thread = threading.Thread(target=send)
--- a/coraldeal/rig/soak/planted.py
+++ b/coraldeal/rig/soak/planted.py
@@ -64,9 +64,9 @@
     """Further calls are made five a second, however many wait."""
 
     def at_once(self: list_calls.CallPlan) -> float | None:
-        return self.last_begun + 0.2 if self.out else None
+        return self.last_started_at + 0.2 if self.in_flight else None
 
-    vars(list_calls)["CallPlan"].further_at = at_once
+    vars(list_calls)["CallPlan"].extra_call_at = at_once
     vars(list_calls)["CallPlan"].make_room = lambda *_: None
 
 
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -196,14 +196,14 @@
             values = copy.deepcopy(told)
             del values["settings"][lost]
             bad.append((json.dumps(values), lost))
-        before = node.balancer.tracks
+        before = node.balancer.request_classes
         for count, (text, word) in enumerate(bad, 1):
             path.write_text(text)
             with self.assertLogs("coraldeal.net.node", "ERROR") as logs:
                 node.reload()
             self.assertIn(word, str(logs.records[0].__dict__["pairs"]["why"]))
             self.assertEqual((await self.figures())["load_errors"], count)
-        self.assertIs(node.balancer.tracks, before)
+        self.assertIs(node.balancer.request_classes, before)
         values = copy.deepcopy(told)
         values["settings"]["tracks"][1].update(name="fresh", effect="retryable")
         path.write_text(json.dumps(values))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -228,7 +228,7 @@
             caller.raw(b"POST /read/x HTTP/1.1\r\nHost: n\r\nReq-Id: 1\r\nContent-Length: 5000000\r\n\r\n")
             caller.raw(LARGE[: 2 * MIB])
             self.assertEqual(await caller.status(), 408)
-        self.assertEqual((ends, self.server.seen), ([Outcome.WITHDRAWN], []))
+        self.assertEqual((ends, self.server.seen), ([Outcome.CANCELLED], []))
         await until(lambda: running.node.servers.open == 0)
         self.assertEqual(running.node.callers.kept, 0)
 
@@ -250,7 +250,7 @@
         caller.raw(b"POST /low/x HTTP/1.1\r\nHost: n\r\nReq-Id: 1\r\nContent-Length: 2\r\n\r\na")
         await until(lambda: running.node.callers.kept == 1)
         settings = running.node.config.settings
-        kept = replace(settings, tracks=settings.tracks[:2])
+        kept = replace(settings, request_classes=settings.request_classes[:2])
         running.node.read_anew = lambda: replace(running.node.config, settings=kept)
         running.node.reload()
         caller.raw(b"b")
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -408,7 +408,7 @@
                 # Tokens are waited for for up to two ticks.
                 running = await self.node(server, bounds={"cancel": cancel}, tick_ns=10**8)
                 balancer = running.node.balancer
-                balancer.tokens, balancer.rate = 0.0, 1 / 150_000
+                balancer.tokens, balancer.token_rate = 0.0, 1 / 150_000
                 caller = await running.caller()
                 caller.send("low")
                 await until(lambda b=balancer: b.tokens < 0)  # type: ignore[misc]
@@ -429,7 +429,7 @@
                 await until(lambda s=server, k=known: len(s.seen) == 2 and not k.attempts)  # type: ignore[misc]
                 await self.gone(running, caller)
                 server.play = serve_well
-                known.credit = 4.0
+                known.retry_budget = 4.0
                 for _ in range(3):
                     self.assertEqual((await (await running.caller()).ask())[0], 200)
                 await self.at_rest(running)
@@ -573,7 +573,7 @@
         ]
         for number, end in enumerate(ends):
             with self.subTest(number):
-                self.assertIs((await self.attempt(careful=True)).outcome, Outcome.SATISFIED)
+                self.assertIs((await self.attempt(careful=True)).outcome, Outcome.SERVED)
                 (connection,) = self.servers.targets["s"].idle
                 await asyncio.sleep(0.015)
                 assert connection.transport is not None
@@ -583,7 +583,7 @@
                 await asyncio.sleep(0.005)
                 attempt = await self.attempt(careful=True)
                 assert attempt.answer is not None
-                self.assertEqual((attempt.outcome, attempt.answer.body), (Outcome.SATISFIED, b"done"))
+                self.assertEqual((attempt.outcome, attempt.answer.body), (Outcome.SERVED, b"done"))
                 self.assertEqual((server.opened, len(server.seen)), (2 * number + 2, 2 * number + 2))
                 for left in list(self.servers.targets["s"].idle):
                     left.drop()
@@ -596,10 +596,10 @@
             await point.reached.wait()
             self.learn(new)
             point.go.set()
-            self.assertIs((await attempt).outcome, Outcome.MOOT)
+            self.assertIs((await attempt).outcome, Outcome.NOT_STARTED)
         await until(lambda: old.closed == 1)
         self.assertEqual(old.seen, [])
-        self.assertIs((await self.attempt()).outcome, Outcome.SATISFIED)
+        self.assertIs((await self.attempt()).outcome, Outcome.SERVED)
         self.assertEqual(len(new.seen), 1)
 
     async def test_an_earlier_attempt_is_off_its_connection_before_the_next_one_goes(self) -> None:
@@ -619,9 +619,9 @@
 
         point = Point()
         running = await self.node(await self.stand_in(play))
-        state = running.node.balancer.tracks["read"]
+        state = running.node.balancer.request_classes["read"]
         # So an attempt is given up after 150 ms, and there is time for another.
-        state.slow, state.median = 50_000, 10_000
+        state.p90_latency, state.median_latency = 50_000, 10_000
         self.assertEqual((await (await running.caller()).ask())[0], 200)
         self.assertEqual(was_off, [True])
         point.go.set()
@@ -637,14 +637,14 @@
                     await point.reached.wait()
                     changes = [entry("other", other.address)]
                     if told == "left out":
-                        node.balancer.leave_out("s0")
+                        node.balancer.start_maintenance("s0")
                     elif told == "replaced":
                         changes.append(entry("new", old.address))
                     else:
                         changes.append(entry("s0", old.address, told))
                     node.take_list(read_list(server_list(2, False, *changes), 0))
                     if told == "replaced":
-                        node.balancer.leave_out("new")
+                        node.balancer.start_maintenance("new")
                     point.go.set()
                     # Never sent, so even what must not run twice goes to another.
                     self.assertEqual((await caller.answer())[0], 200)
@@ -709,7 +709,7 @@
             await until(lambda: server.opened == 1)
             caller.leave()
             await until(lambda: ended.called)
-        self.assertIs(ended.call_args.args[2], Outcome.WITHDRAWN)
+        self.assertIs(ended.call_args.args[2], Outcome.CANCELLED)
         self.assertEqual(server.seen, [])
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -75,15 +75,18 @@
 
     async def test_the_newcomer_goes_on_from_what_the_elder_knows(self) -> None:
         elder = (await self.start()).node
-        elder.balancer.leave_out("s1")
-        elder.balancer.servers["s0"].cap = 7
-        elder.balancer.rate = 0.125
+        elder.balancer.start_maintenance("s1")
+        elder.balancer.servers["s0"].concurrency_limit = 7
+        elder.balancer.token_rate = 0.125
         newcomer = (await self.start(known=False)).node
         await until(lambda: elder.callers.listener is None)
         self.assertEqual(
-            (newcomer.balancer.left_out, newcomer.balancer.rate), (elder.balancer.left_out, 0.125)
+            (newcomer.balancer.in_maintenance, newcomer.balancer.token_rate),
+            (elder.balancer.in_maintenance, 0.125),
+        )
+        self.assertEqual(
+            (newcomer.balancer.servers["s0"].concurrency_limit, newcomer.discovery.version), (7, 4)
         )
-        self.assertEqual((newcomer.balancer.servers["s0"].cap, newcomer.discovery.version), (7, 4))
         self.assertEqual((elder.part, newcomer.part), (0.5, 0.5))
         self.assertLessEqual(elder.limit + newcomer.limit + 2 * elder.reserve, elder.config.sockets)
         caller = await Caller(self.port).open()
@@ -94,7 +97,9 @@
         assert newcomer.door is not None and elder.door is not None
         self.assertTrue(elder.door.desk.put_back("s1"))
         self.assertTrue(newcomer.door.desk.leave_out("s0"))
-        await until(lambda: "s0" in elder.balancer.left_out and "s1" not in newcomer.balancer.left_out)
+        await until(
+            lambda: "s0" in elder.balancer.in_maintenance and "s1" not in newcomer.balancer.in_maintenance
+        )
 
     async def test_callers_move_by_their_next_answer_and_none_is_refused(self) -> None:
         running = await self.start()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -86,7 +86,7 @@
             caller.leave()
             await until(lambda: server.closed == 1)
             await until(lambda: not node.inquiries.in_hand)
-        self.assertIs(ended.call_args.args[2], Outcome.WITHDRAWN)
+        self.assertIs(ended.call_args.args[2], Outcome.CANCELLED)
         self.assertEqual((node.balancer.inquiries, node.balancer.attempts), ({}, {}))
 
     async def test_client_gone_while_attempts_may_not_be_stopped(self) -> None:
@@ -252,9 +252,9 @@
         for name in (
             "inquiry_arrived",
             "attempt_ended",
-            "client_left",
+            "client_disconnected",
             "alarm",
-            "note_came",
+            "peer_message_received",
             "servers_listed",
         ):
             setattr(balancer, name, watched(name))
--- a/tests/test_own_failures.py
+++ b/tests/test_own_failures.py
@@ -44,8 +44,10 @@
 class OwnFailures(NodeCase):
     def unjudged(self, running: RunningNode) -> None:
         for server in running.node.balancer.servers.values():
-            self.assertEqual((server.fail_share, server.strikes, server.rest_until), (0.0, 0, 0))
-            self.assertGreaterEqual(server.cap, 2)
+            self.assertEqual(
+                (server.failure_rate, server.consecutive_ejections, server.ejected_until), (0.0, 0, 0)
+            )
+            self.assertGreaterEqual(server.concurrency_limit, 2)
 
     async def test_one_that_lasts_a_moment_costs_no_request_and_no_server_its_name(self) -> None:
         for error in sorted(OWN_FAILURES | PASSING_FAILURES):
@@ -83,4 +85,4 @@
         with FailingConnects(servers[:1], lambda _: True, errno.EHOSTUNREACH):
             for _ in range(REQUESTS):
                 await (await running.caller()).ask()
-        self.assertGreater(running.node.balancer.servers["s0"].fail_share, 0.0)
+        self.assertGreater(running.node.balancer.servers["s0"].failure_rate, 0.0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,7 +17,7 @@
 
 from coraldeal.balance import Balancer
 from coraldeal.config import SettingsError
-from coraldeal.interface import Note, NoteKind
+from coraldeal.interface import PeerMessage, PeerMessageKind
 from coraldeal.net.carrier import Carrier
 from coraldeal.notes import LENGTHS, pack, unpack
 from tests.standins import RunningNode, Seen, StandIn, answer, config, entry, server_list, until
@@ -47,18 +47,25 @@
 class Words(unittest.TestCase):
     def test_notes_go_out_and_come_back_the_same(self) -> None:
         for note in (
-            Note(NoteKind.ASK, 0xABCDEF, 3),
-            Note(NoteKind.ANSWER, 1, 255, bound=7.25),
-            Note(NoteKind.SENT, 0, 0),
-            Note(NoteKind.ENDED, 77, 2, found=9, latency_us=120_000),
+            PeerMessage(PeerMessageKind.ASK, 0xABCDEF, 3),
+            PeerMessage(PeerMessageKind.ANSWER, 1, 255, global_limit=7.25),
+            PeerMessage(PeerMessageKind.SENT, 0, 0),
+            PeerMessage(PeerMessageKind.ENDED, 77, 2, in_flight_at_start=9, latency_us=120_000),
         ):
             self.assertEqual(unpack(pack(note)), note)
             self.assertEqual(len(pack(note)), LENGTHS[note.kind])
 
     def test_figures_too_large_are_told_as_the_largest(self) -> None:
-        self.assertEqual(unpack(pack(Note(NoteKind.SENT, 1, 4000))), Note(NoteKind.SENT, 1, 255))
-        ended = unpack(pack(Note(NoteKind.ENDED, 1, 0, found=300, latency_us=10**9)))
-        self.assertEqual(ended, Note(NoteKind.ENDED, 1, 0, found=255, latency_us=65_535_000))
+        self.assertEqual(
+            unpack(pack(PeerMessage(PeerMessageKind.SENT, 1, 4000))),
+            PeerMessage(PeerMessageKind.SENT, 1, 255),
+        )
+        ended = unpack(
+            pack(PeerMessage(PeerMessageKind.ENDED, 1, 0, in_flight_at_start=300, latency_us=10**9))
+        )
+        self.assertEqual(
+            ended, PeerMessage(PeerMessageKind.ENDED, 1, 0, in_flight_at_start=255, latency_us=65_535_000)
+        )
 
     def test_anything_else_is_no_note_and_never_an_error(self) -> None:
         chance = random.Random(7)
@@ -68,7 +75,13 @@
                 note = unpack(words)
                 if note is not None:
                     self.assertEqual(len(pack(note)), length)
-        for words in (b"", b"\x01", b"\x09abcd", b"\x01abcde", pack(Note(NoteKind.ENDED, 1, 1))[:-1]):
+        for words in (
+            b"",
+            b"\x01",
+            b"\x09abcd",
+            b"\x01abcde",
+            pack(PeerMessage(PeerMessageKind.ENDED, 1, 1))[:-1],
+        ):
             self.assertIsNone(unpack(words))
 
 
@@ -94,7 +107,7 @@
     def test_off_unless_named(self) -> None:
         plain = config(server_list(1, True), bounds={"peers": True})
         self.assertEqual((plain.peers, plain.settings.peers), (None, 0))
-        self.assertFalse(Balancer(mock.Mock(now=0), plain.settings, 1).may_message)
+        self.assertFalse(Balancer(mock.Mock(now=0), plain.settings, 1).has_peers)
         peers = {"nodes": ["127.0.0.1:1", "127.0.0.1:2"], "self": 1}
         named = config(server_list(1, True), peers=peers, bounds={"peers": True})
         self.assertEqual((named.settings.peers, named.settings.peer_index), (2, 1))
@@ -108,11 +121,11 @@
 
 
 class Carriers(unittest.IsolatedAsyncioTestCase):
-    async def open(self, count: int) -> tuple[list[Carrier], list[list[tuple[int, Note]]]]:
+    async def open(self, count: int) -> tuple[list[Carrier], list[list[tuple[int, PeerMessage]]]]:
         nodes = tuple(("127.0.0.1", port) for port in free_ports(count))
-        came: list[list[tuple[int, Note]]] = [[] for _ in nodes]
+        came: list[list[tuple[int, PeerMessage]]] = [[] for _ in nodes]
 
-        def into(found: list[tuple[int, Note]]) -> Callable[[int, Note], None]:
+        def into(found: list[tuple[int, PeerMessage]]) -> Callable[[int, PeerMessage], None]:
             return lambda peer, note: found.append((peer, note))
 
         carriers = [Carrier(nodes, number, into(came[number])) for number in range(count)]
@@ -126,14 +139,14 @@
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         with stranger, self.assertLogs("coraldeal.carrier") as logs:
             for _ in range(3):
-                stranger.sendto(pack(Note(NoteKind.SENT, 1, 1)), carriers[0].nodes[0])
+                stranger.sendto(pack(PeerMessage(PeerMessageKind.SENT, 1, 1)), carriers[0].nodes[0])
             transport = carriers[1].transport
             assert transport is not None
             for words in (b"", b"\x07", b"x" * 1000):
                 transport.sendto(words, carriers[0].nodes[0])
-            carriers[1].tell(0, Note(NoteKind.SENT, 5, 2))
+            carriers[1].tell(0, PeerMessage(PeerMessageKind.SENT, 5, 2))
             await until(lambda: bool(came[0]) and carriers[0].unknown == 3)
-        self.assertEqual(came[0], [(1, Note(NoteKind.SENT, 5, 2))])
+        self.assertEqual(came[0], [(1, PeerMessage(PeerMessageKind.SENT, 5, 2))])
         self.assertGreaterEqual(carriers[0].unreadable, 2)
         self.assertEqual(len(logs.output), 2)
 
@@ -144,12 +157,12 @@
         with mock.patch("coraldeal.net.carrier.AGAIN", 0.01):
             await after.open()
             self.assertIsNone(after.transport)
-            after.tell(1, Note(NoteKind.SENT, 1, 1))
+            after.tell(1, PeerMessage(PeerMessageKind.SENT, 1, 1))
             self.assertEqual(after.unsent, 1)
             before.close()
             await until(lambda: after.transport is not None)
-        other.tell(0, Note(NoteKind.SENT, 9, 1))
-        await until(lambda: came[0] == [(1, Note(NoteKind.SENT, 9, 1))])
+        other.tell(0, PeerMessage(PeerMessageKind.SENT, 9, 1))
+        await until(lambda: came[0] == [(1, PeerMessage(PeerMessageKind.SENT, 9, 1))])
 
 
 class Server(StandIn):
@@ -199,10 +212,10 @@
             # A kind that takes too much: all it has goes out at once, whatever books and caps say.
             for kind, running in nodes:
                 if kind == "new":
-                    running.node.balancer._fits = lambda *_: True  # type: ignore[method-assign]
-                    running.node.balancer.may_message = False
+                    running.node.balancer._has_room = lambda *_: True  # type: ignore[method-assign]
+                    running.node.balancer.has_peers = False
                     for one in running.node.balancer.servers.values():
-                        one.cap = 10_000
+                        one.concurrency_limit = 10_000
         statuses: dict[str, list[int]] = {"old": [], "new": []}
         longest = 0.0
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -84,7 +84,7 @@
 
         server = await self.stand_in(play)
         end = await self.attempt(post(3))
-        self.assertIs(end.outcome, Outcome.SATISFIED)
+        self.assertIs(end.outcome, Outcome.SERVED)
         self.assertEqual((end.report, end.answer and end.answer.body), ({"queue": 2.0}, b"ok"))
         self.assertEqual((server.seen[0].line, server.seen[0].body), ("POST /read/1 HTTP/1.1", bytes(3)))
 
@@ -111,7 +111,7 @@
 
     async def test_a_request_on_a_broken_reused_connection_goes_out_once(self) -> None:
         server = await self.stand_in()
-        self.assertIs((await self.attempt()).outcome, Outcome.SATISFIED)
+        self.assertIs((await self.attempt()).outcome, Outcome.SERVED)
         server.play = hang_up
         await asyncio.sleep(0.05)
         # A GET: a client session would repeat it here by itself.
@@ -187,7 +187,7 @@
 
     async def test_stop_before_the_last_byte_lets_the_rest_never_follow(self) -> None:
         end, took = await self.unread("stop")
-        self.assertIs(end.outcome, Outcome.WITHDRAWN)
+        self.assertIs(end.outcome, Outcome.CANCELLED)
         self.assertLess(took, LARGE)
 
     async def test_break_after_the_last_byte_is_a_reset(self) -> None:
@@ -227,7 +227,7 @@
         ):
             with self.subTest(data=data[:80]):
                 server, end = await self.raw(data)
-                self.assertIs(end.outcome, Outcome.SPOILT)
+                self.assertIs(end.outcome, Outcome.MALFORMED)
                 self.assertFalse(end.outcome.proved_not_run)
                 await until(lambda server=server: server.closed == 1)  # type: ignore[misc]
 
@@ -344,7 +344,7 @@
         attempt = asyncio.create_task(self.attempt())
         await until(lambda: len(server.seen) == 2)
         attempt.cancel()
-        self.assertIs((await attempt).outcome, Outcome.WITHDRAWN)
+        self.assertIs((await attempt).outcome, Outcome.CANCELLED)
         await until(lambda: server.closed == 2)
 
     async def test_latest_connection_is_reused_and_idle_ones_are_closed_early(self) -> None:
@@ -396,7 +396,7 @@
 
         server = await self.stand_in(play)
         end = await self.servers.probe("s", with_report=True)
-        self.assertEqual((end.outcome, end.report), (Outcome.SATISFIED, {"inflight": 3.0, "queue": 1.0}))
+        self.assertEqual((end.outcome, end.report), (Outcome.SERVED, {"inflight": 3.0, "queue": 1.0}))
         await self.servers.probe("s", with_report=False)
         lines = [seen.line for seen in server.seen]
         self.assertEqual(lines, ["GET /status/load HTTP/1.1", "GET /health HTTP/1.1"])
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -74,7 +74,7 @@
     def test_outcomes(self) -> None:
         declined = {"Srv-Declined": "1"}
         for status, fields, outcome in (
-            (200, {}, Outcome.SATISFIED),
+            (200, {}, Outcome.SERVED),
             (500, {}, Outcome.ERROR),
             (503, declined, Outcome.FULL),
             (504, declined, Outcome.FULL),
@@ -123,7 +123,7 @@
         first, second = (listed.entry for listed in told.servers)
         self.assertEqual((first.server, first.zone, first.cell), ("s", "a", 3))
         self.assertIs(first.condition, Condition.DRAINING)
-        self.assertEqual((first.born_us, second.born_us), (3_000_000, 0))
+        self.assertEqual((first.started_at_us, second.started_at_us), (3_000_000, 0))
         # A word that is not known is no leave to send.
         told = wire.read_list({**values, "instances": [{**item, "lifecycle": "Resting"}]}, offset_us=0)
         self.assertIs(told.servers[0].entry.condition, Condition.DRAINING)
@@ -131,7 +131,7 @@
         shaped = {**values, "instances": [{**item, "machineType": "m2"}]}
         self.assertEqual(wire.read_list(shaped, offset_us=0).servers[0].entry.kind, "m2")
         # Younger than the clock's beginning is not long ago.
-        self.assertEqual(wire.read_list(values, offset_us=9_000_000).servers[0].entry.born_us, 1)
+        self.assertEqual(wire.read_list(values, offset_us=9_000_000).servers[0].entry.started_at_us, 1)
 
 
 class Configuration(unittest.TestCase):
@@ -156,7 +156,7 @@
     def test_bound_tracks(self) -> None:
         plain = SETTINGS["tracks"][0]
         bound = {**plain, "name": "bound", "shapes_open": ["m2", "m1"], "allowed_in": ["a"]}
-        tracks = self.read(settings={**SETTINGS, "tracks": [plain, bound]}).settings.tracks
+        tracks = self.read(settings={**SETTINGS, "tracks": [plain, bound]}).settings.request_classes
         self.assertEqual((tracks[0].zones, tracks[0].kinds), ((), ()))
         self.assertEqual((tracks[1].zones, tracks[1].kinds), (("a",), ("m1", "m2")))
 
@@ -222,9 +222,9 @@
 class Example(unittest.TestCase):
     def test_its_configuration_is_understood(self) -> None:
         read = read_node_config(os.path.join(os.path.dirname(__file__), "..", "example", "config.json"), {})
-        self.assertEqual([track.name for track in read.settings.tracks], ["checkout", "browse"])
+        self.assertEqual([track.name for track in read.settings.request_classes], ["checkout", "browse"])
         # What is not said to be repeatable is not repeated.
-        effects = [track.effect for track in read.settings.tracks]
-        self.assertEqual(effects, [Effect.IRREVERSIBLE, Effect.REDOABLE])
+        effects = [track.effect for track in read.settings.request_classes]
+        self.assertEqual(effects, [Effect.NOT_IDEMPOTENT, Effect.IDEMPOTENT])
         known = wire.read_list(read.known, offset_us=0).servers
         self.assertEqual([listed.address for listed in known], ["127.0.0.1:9001", "127.0.0.1:9002"])
