--- a/coraldeal/rig/baseline.py
+++ b/coraldeal/rig/baseline.py
@@ -21,11 +21,11 @@
     Host,
     InquiryId,
     ListKind,
-    Note,
     Outcome,
+    PeerMessage,
+    RequestClass,
     ServerId,
     Settings,
-    Track,
 )
 from coraldeal.net import node as node_module
 
@@ -38,7 +38,7 @@
 
     __slots__ = ("attempts", "deadline", "name", "open_at", "ran_on", "request_class")
 
-    def __init__(self, name: InquiryId, request_class: Track, deadline: int) -> None:
+    def __init__(self, name: InquiryId, request_class: RequestClass, deadline: int) -> None:
         self.name = name
         self.request_class = request_class
         # The time by which the inquiry must be answered, in microseconds of the host's clock.
@@ -62,7 +62,7 @@
         self.settings = settings
         self.seed = seed
         self.draws = 0
-        self.request_classes = {spec.name: spec for spec in settings.tracks}
+        self.request_classes = {spec.name: spec for spec in settings.request_classes}
         self.is_first_layer = settings.layer == 0
         self.servers: dict[ServerId, Entry] = {}
         self.names: list[ServerId] = []
@@ -70,7 +70,7 @@
         self.load: dict[ServerId, int] = {}
         self.inquiries: dict[InquiryId, _InquiryState] = {}
         self.turn = 0
-        if settings.list_is_asked:
+        if settings.list_is_pulled:
             host.wake("list", 1000)
 
     def draw(self) -> float:
@@ -96,7 +96,7 @@
         time_left = inquiry.deadline - self.host.now
         names = self.names
         ran_on = inquiry.ran_on
-        if ran_on is not None and inquiry.request_class.effect is Effect.LABELLED:
+        if ran_on is not None and inquiry.request_class.effect is Effect.IDEMPOTENT_BY_KEY:
             names = [name for name in names if self.servers[name].cell == ran_on.cell]
         if time_left <= 0 or not names or inquiry.attempts >= self.settings.max_attempts:
             self.answer(inquiry)
@@ -109,11 +109,11 @@
     def answer(self, inquiry: _InquiryState) -> None:
         """Reject the inquiry if its caller may safely retry it, otherwise fail it."""
         del self.inquiries[inquiry.name]
-        may_retry = inquiry.ran_on is None or inquiry.request_class.effect is Effect.REDOABLE
+        may_retry = inquiry.ran_on is None or inquiry.request_class.effect is Effect.IDEMPOTENT
         if self.is_first_layer and may_retry:
-            self.host.defer(inquiry.name, 0)
+            self.host.reject(inquiry.name, 0)
         else:
-            self.host.give_up(inquiry.name)
+            self.host.fail(inquiry.name)
 
     def attempt_ended(
         self,
@@ -136,12 +136,12 @@
             return
         if not outcome.proved_not_run and inquiry.ran_on is None:
             inquiry.ran_on = self.servers.get(server) or Entry(server, "", -1, Condition.GONE, 0)
-        if inquiry.ran_on is not None and inquiry.request_class.effect is Effect.IRREVERSIBLE:
+        if inquiry.ran_on is not None and inquiry.request_class.effect is Effect.NOT_IDEMPOTENT:
             self.answer(inquiry)
         else:
             self.attempt(inquiry)
 
-    def may_begin(self, name: InquiryId) -> bool:
+    def may_start_attempt(self, name: InquiryId) -> bool:
         """Allow every attempt that was sent to begin."""
         return True
 
@@ -149,21 +149,21 @@
         """Return whether the server is in the list."""
         return server in self.servers
 
-    def client_left(self, name: InquiryId) -> None:
+    def client_disconnected(self, name: InquiryId) -> None:
         """Forget the inquiry, and cancel its open attempt if the settings allow it."""
         inquiry = self.inquiries.pop(name, None)
         if inquiry is not None and inquiry.open_at is not None:
             if inquiry.open_at in self.load:
                 self.load[inquiry.open_at] -= 1
-            if self.settings.may_withdraw:
-                self.host.withdraw(name, inquiry.attempts - 1)
+            if self.settings.may_cancel:
+                self.host.cancel(name, inquiry.attempts - 1)
 
     def alarm(self, token: str) -> None:
         """Ask for the list again when its timer expires."""
         if token == "list":
             self.host.follow_list()
 
-    def note_came(self, peer: int, note: Note) -> None:
+    def peer_message_received(self, peer: int, note: PeerMessage) -> None:
         """Ignore the message: baselines neither send nor use messages between nodes."""
 
     def list_failed(self) -> None:
@@ -215,7 +215,7 @@
         report: dict[str, float] | None,
     ) -> None:
         # After CONNECT_FAILED every request may be retried, since the server never received it.
-        reported = outcome if outcome is Outcome.SATISFIED else Outcome.CONNECT_FAILED
+        reported = outcome if outcome is Outcome.SERVED else Outcome.CONNECT_FAILED
         super().attempt_ended(name, number, reported, latency_us, over, report)
 
 
@@ -241,7 +241,7 @@
     """Planted fault: sends everything to the server that has started last."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
-        return max(names, key=lambda name: (self.servers[name].born_us, name))
+        return max(names, key=lambda name: (self.servers[name].started_at_us, name))
 
 
 POLICIES: dict[str, type[RandomBalancer]] = {
