--- a/coraldeal/balance.py
+++ b/coraldeal/balance.py
@@ -989,8 +989,8 @@
             + (1 - rules.cold_capacity) * (now - server.entry.started_at_us) / rules.warm_up_us
         )
         per_server = min(self.send_rate, self.usual_send_rate) / max(1, len(self.default_subset.servers))
-        rate = 0.5 * rules.crash_multiple * capacity * per_server * self.share
-        max_tokens = max(1.0, rate * rules.crash_window_us / 4)
+        rate = 0.5 * rules.collapse_multiple * capacity * per_server * self.share
+        max_tokens = max(1.0, rate * rules.collapse_window_us / 4)
         server.slow_start_tokens = min(
             max_tokens, server.slow_start_tokens + (now - server.slow_start_refilled_at) * rate
         )
--- a/coraldeal/interface.py
+++ b/coraldeal/interface.py
@@ -146,10 +146,10 @@
     # warm-up time.
     cold_capacity: float
     warm_up_us: int
-    # A cold server crashes when it receives clearly more than this multiple of its current rate within the
+    # A cold server collapses when it receives clearly more than this multiple of its current rate within the
     # window.
-    crash_multiple: float
-    crash_window_us: int
+    collapse_multiple: float
+    collapse_window_us: int
     report_fields: list[str] = field(default_factory=list)
     # How many nodes exchange peer messages (below 2: none), and this node's number among them.
     peers: int = 0
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -133,8 +133,8 @@
         max_retry_after_us=SECOND,
         cold_capacity=0.25,
         warm_up_us=8 * SECOND,
-        crash_multiple=2.0,
-        crash_window_us=SECOND,
+        collapse_multiple=2.0,
+        collapse_window_us=SECOND,
     )
 
 
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,7 +1,7 @@
 """The load that all nodes together put on servers that have just started, with a simulated clock.
 
-A cold server crashes when more than N + 2 x sqrt(N) + 2 attempts arrive within `crash_window_us`. N is
-`crash_multiple` times the server's current rate times the window. The rate grows linearly from
+A cold server collapses when more than N + 2 x sqrt(N) + 2 attempts arrive within `collapse_window_us`. N is
+`collapse_multiple` times the server's current rate times the window. The rate grows linearly from
 `cold_capacity` of its full rate at the start to all of it after `warm_up_us`. No node is given the full rate:
 the average rate of a server before the burst stands for it here, which is the least that it can be.
 """
@@ -49,14 +49,14 @@
     fresh: float = 0.3
     failing: float = 0.125
     cold_capacity: float = 0.25
-    crash_multiple: float = 2.5
-    crash_window_us: int = SECOND
+    collapse_multiple: float = 2.5
+    collapse_window_us: int = SECOND
     warm_up_us: int = 8 * SECOND
     # Whether nodes exchange peer messages.
     peers: bool = False
     # How long the servers that come back were out of the list, which loaded the others more.
     away_us: int = 2 * SECOND
-    # An injected fault: the factor by which the nodes' `crash_multiple` is too large.
+    # An injected fault: the factor by which the nodes' `collapse_multiple` is too large.
     budget_factor: float = 1.0
     start: int = 12 * SECOND
     end: int = 24 * SECOND
@@ -160,8 +160,8 @@
             max_attempts=3,
             may_cancel=True, may_send_retry_after=True, max_retry_after_us=SECOND,
             cold_capacity=scenario.cold_capacity, warm_up_us=scenario.warm_up_us,
-            crash_multiple=scenario.crash_multiple * scenario.budget_factor,
-            crash_window_us=scenario.crash_window_us,
+            collapse_multiple=scenario.collapse_multiple * scenario.budget_factor,
+            collapse_window_us=scenario.collapse_window_us,
             peers=scenario.nodes if scenario.peers else 0, peer_index=host.index,
         )  # fmt: skip
         host.epoch += 1
@@ -250,13 +250,13 @@
                 if not self.is_cold(name, at):
                     continue
                 window.append(at)
-                while window[0] <= at - scenario.crash_window_us:
+                while window[0] <= at - scenario.collapse_window_us:
                     window.popleft()
                 n = (
-                    scenario.crash_multiple
+                    scenario.collapse_multiple
                     * self.capacity(name, at)
                     * scenario.rate
-                    * scenario.crash_window_us
+                    * scenario.collapse_window_us
                     / SECOND
                 )
                 worst = max(worst, (len(window) / (n + 2 * sqrt(n) + 2), len(window), n))
@@ -274,7 +274,7 @@
     "half of them cold, all nodes fresh": (Scenario(rate=1.0, burst=2.0, cold=0.5, fresh=1.0), 3),
     "failing": (Scenario(rate=1.5, burst=2.0, failing=0.4), 3),
     "a long window": (
-        Scenario(burst=3.0, crash_window_us=3 * SECOND, warm_up_us=16 * SECOND, end=30 * SECOND),
+        Scenario(burst=3.0, collapse_window_us=3 * SECOND, warm_up_us=16 * SECOND, end=30 * SECOND),
         3,
     ),
     "a long warm-up": (Scenario(cold_capacity=0.12, warm_up_us=20 * SECOND, end=32 * SECOND, burst=2.0), 1),
--- a/tests/test_list.py
+++ b/tests/test_list.py
@@ -57,8 +57,8 @@
         max_retry_after_us=SECOND,
         cold_capacity=0.25,
         warm_up_us=8 * SECOND,
-        crash_multiple=2.0,
-        crash_window_us=SECOND,
+        collapse_multiple=2.0,
+        collapse_window_us=SECOND,
         peers=peers,
     )
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -46,8 +46,8 @@
     "peer_index": 0,
     "cold_capacity": 0.25,
     "warm_up": "8s",
-    "crash_multiple": 2.0,
-    "crash_window": "1s",
+    "collapse_multiple": 2.0,
+    "collapse_window": "1s",
 }
 
 
