--- a/coraldeal/rig/scale/__init__.py
+++ b/coraldeal/rig/scale/__init__.py
@@ -1,1 +1,1 @@
-"""The scale run: thousands of hollow nodes beside a few real ones follow one source through its troubles."""
+"""The scale run: thousands of hollow nodes and a few real ones follow one list source while faults occur."""
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -1,7 +1,8 @@
-"""Hollow nodes: `python -m coraldeal.rig.scale.hollow JOB`, many in one process.
+"""Hollow nodes: `python -m coraldeal.rig.scale.hollow JOB` runs many of them in one process.
 
-Each plays a node's control side with the product's own classes: the watch (`Discovery`), the addresses
-(`Servers`), the list in the module (`Balancer`) with its sweep. It has no callers, so no attempts either.
+A hollow node runs the control side of a node with the product's own classes: the watch (`Discovery`), the
+addresses (`Servers`), and the list in the decision module (`Balancer`) with its sweep. It has no callers and
+so makes no attempts.
 """
 
 from __future__ import annotations
@@ -26,19 +27,19 @@
 from coraldeal.net.node import REWATCH_LEAST, REWATCH_MOST
 from coraldeal.net.servers import Servers
 from coraldeal.net.wire import ServerList, read_list
-from coraldeal.rig.scale import books
-from coraldeal.rig.scale.books import HollowBook, HollowJob, ListedRow, NodeBook, Told
-from coraldeal.rig.scale.journal import sequence_of
-from coraldeal.rig.scale.process import Process, orders, start
+from coraldeal.rig.scale import records
+from coraldeal.rig.scale.journal import decode_sequence
+from coraldeal.rig.scale.process import Process, open_orders, start
+from coraldeal.rig.scale.records import AppliedRecord, HollowJob, HollowRecords, NodeRecords, ReadyMessage
 
-WORDS = {Condition.READY: "Ready", Condition.DRAINING: "Terminating", Condition.GONE: "Gone"}
-# A list is waited for so long, in seconds.
-LIST_WAIT = 60.0
+LIFECYCLES = {Condition.READY: "Ready", Condition.DRAINING: "Terminating", Condition.GONE: "Gone"}
+# How long a process waits until all its nodes have their first list, in seconds.
+FIRST_LIST_TIMEOUT = 60.0
 
 
-def settings(name: str, zone: str, number: int, instances: int, address: str) -> dict[str, object]:
-    """A node's configuration, hollow or real."""
-    track = {
+def node_settings(name: str, zone: str, number: int, instances: int, address: str) -> dict[str, object]:
+    """The configuration of a hollow or a real node that asks for its list at `address`."""
+    request_class = {
         "name": "read",
         "effect": "retryable",
         "expected_time_ns": 500_000_000,
@@ -56,102 +57,119 @@
             "self_index": number % instances,
             "zone": zone,
             "discovery": "push",
-            "tracks": [track],
+            "tracks": [request_class],
         },
     }
 
 
-class Hollow:
-    """A node without callers, and the module's `Host`: no inquiry comes, so most of it is never called."""
+class HollowNode:
+    """A node without callers, and the `Host` of its decision module.
+
+    No inquiry comes, so most methods of the host are never called.
+    """
 
     def __init__(
         self,
-        job: books.HollowNode,
+        job: records.HollowNodeJob,
         config: NodeConfig,
         offset_us: int,
-        kept: str,
-        on_list: Callable[[], None],
+        retained_server: str,
+        on_first_list: Callable[[], None],
     ) -> None:
         self.loop = asyncio.get_running_loop()
         self.seed = config.seed
-        self.book = NodeBook(job.number, job.region, job.services)
-        # The server that this node does not let go: a planted fault.
-        self.kept = kept
-        self.on_first: Callable[[], None] | None = on_list
+        self.records = NodeRecords(job.number, job.region, job.services)
+        # A planted fault: the server that this node keeps when it is gone; empty: none.
+        self.retained_server = retained_server
+        self.on_first_list: Callable[[], None] | None = on_first_list
         self.rewatch_wait = REWATCH_LEAST
-        self.rewatch: asyncio.TimerHandle | None = None
-        self.draws = 0
+        self.rewatch_timer: asyncio.TimerHandle | None = None
+        self.wait_draws = 0
         read = partial(read_list, offset_us=offset_us)
-        # One address alone is the configuration's; several are the operator's `[lists]`.
-        several = job.addresses if len(job.addresses) > 1 else ()
+        # A single address stands in the configuration; several are the `[lists]` of the operator's file.
+        list_sources = job.addresses if len(job.addresses) > 1 else ()
         self.discovery = Discovery(
-            job.addresses[0], read, self.take_list, self.list_failed, job.services, several, str(config.seed)
+            job.addresses[0],
+            read,
+            self.apply_list,
+            self.handle_list_failure,
+            job.services,
+            list_sources,
+            str(config.seed),
         )
         self.servers = Servers(
             clock, config.conn_idle_us, config.connect_timeout_us, _nothing, self.may_send, Figures(())
         )
         self.balancer = Balancer(self, config.settings, config.seed)
 
-    # As `Node` does.
+    # The handling of lists, as in `Node`.
 
-    def take_list(self, told: ServerList) -> None:
-        if self.kept:
-            told = told._replace(servers=[
-                listed for listed in told.servers
-                if listed.entry.server != self.kept or listed.entry.condition is not Condition.GONE
+    def apply_list(self, received: ServerList) -> None:
+        """Apply a full list or changes to the addresses and to the decision module."""
+        if self.retained_server:
+            received = received._replace(servers=[
+                listed for listed in received.servers
+                if listed.entry.server != self.retained_server or listed.entry.condition is not Condition.GONE
             ])  # fmt: skip
         before = self.balancer.listed
-        lost = self.servers.learn(told.servers, told.whole)
+        lost = self.servers.learn(received.servers, received.whole)
         self.rewatch_wait = REWATCH_LEAST
-        kind = ListKind.WHOLE if told.whole else ListKind.CHANGES
+        kind = ListKind.WHOLE if received.whole else ListKind.CHANGES
         gone = [Entry(server, "", 0, Condition.GONE, 0) for server in lost]
-        self.balancer.servers_listed(kind, gone + [listed.entry for listed in told.servers])
-        self.write_down(told, before)
-
-    def list_failed(self) -> None:
-        self.book.failures += 1
-        self.draws += 1
-        chance = crc32(f"{self.seed} watch {self.draws}".encode()) / 2**32
-        if self.rewatch is not None:
-            # One wait at a time, however many failures there were.
-            self.rewatch.cancel()
+        self.balancer.servers_listed(kind, gone + [listed.entry for listed in received.servers])
+        self.record_list(received, before)
+
+    def handle_list_failure(self) -> None:
+        """Schedule a new watch after a wait that grows with each failure."""
+        self.records.failures += 1
+        self.wait_draws += 1
+        chance = crc32(f"{self.seed} watch {self.wait_draws}".encode()) / 2**32
+        if self.rewatch_timer is not None:
+            # Only one timer runs at a time, however many failures there were.
+            self.rewatch_timer.cancel()
         wait = self.rewatch_wait * (0.5 + chance)
-        self.rewatch = self.loop.call_later(wait, self.discovery.follow)
+        self.rewatch_timer = self.loop.call_later(wait, self.discovery.follow)
         self.rewatch_wait = min(2 * self.rewatch_wait, REWATCH_MOST)
 
     def may_send(self, server: ServerId) -> bool:
+        """Whether the decision module may send to this server."""
         return self.balancer.may_send(server)
 
-    # Its book.
+    # Records.
+
+    def record_list(self, received: ServerList, before: dict[ServerId, Entry]) -> None:
+        """Record the state that the module now holds of each received server.
 
-    def write_down(self, told: ServerList, before: dict[ServerId, Entry]) -> None:
-        """What the module holds now of what it was told; of a whole list only what is not as before."""
+        Of a full list, only the servers whose state has changed are recorded; of the first list, none.
+        """
         at_us = clock()
-        if told.whole:
-            self.book.wholes.append((at_us, told.version))
-        if self.on_first is not None:
-            self.on_first()
-            self.on_first = None
+        if received.whole:
+            self.records.full_lists.append((at_us, received.version))
+        if self.on_first_list is not None:
+            self.on_first_list()
+            self.on_first_list = None
             return
-        for entry, _ in told.servers:
+        for entry, _ in received.servers:
             held = self.balancer.listed.get(entry.server)
-            if told.whole and before.get(entry.server) == held:
+            if received.whole and before.get(entry.server) == held:
                 continue
-            word = WORDS[Condition.GONE if held is None else held.condition]
-            row = ListedRow(at_us, entry.server, word, sequence_of((held or entry).size))
-            self.book.rows.append(row)
+            lifecycle = LIFECYCLES[Condition.GONE if held is None else held.condition]
+            record = AppliedRecord(at_us, entry.server, lifecycle, decode_sequence((held or entry).size))
+            self.records.applied.append(record)
 
-    def close_book(self) -> NodeBook:
+    def finish_records(self) -> NodeRecords:
+        """Add what the node holds at the end to its records, and return them."""
         listed = self.balancer.listed
-        self.book.held = {
-            name: (WORDS[entry.condition], sequence_of(entry.size)) for name, entry in listed.items()
+        self.records.final_servers = {
+            name: (LIFECYCLES[entry.condition], decode_sequence(entry.size)) for name, entry in listed.items()
         }
-        return self.book
+        return self.records
 
-    # The module's host.
+    # The host of the decision module (see `Host`). The methods for inquiries and peers do nothing.
 
     @property
     def now(self) -> int:
+        """The monotonic clock in microseconds."""
         return clock()
 
     def send(self, inquiry: InquiryId, server: ServerId, timeout_us: int) -> None: ...
@@ -165,58 +183,61 @@
     def tell(self, peer: int, note: Note) -> None: ...
 
     def wake(self, token: str, after_us: int) -> None:
+        """Call the module with this token after a time."""
         self.loop.call_later(after_us / 1e6, self._alarm, token)
 
     def _alarm(self, token: str) -> None:
         self.balancer.alarm(token)
 
     def follow_list(self) -> None:
+        """Start a watch, or a call for the list."""
         self.discovery.follow()
 
     def log(self, text: str) -> None: ...
 
 
 def _nothing() -> None:
-    """No descriptor is short: there are no attempts."""
+    """Do nothing at a shortage of descriptors: there are no attempts and so no shortage."""
 
 
 async def main(path: Path) -> None:
-    # Thousands of nodes in one process would write the same line each.
+    """Run hollow nodes by the job in this file, and write their records at the order to stop."""
+    # A warning would be repeated by thousands of nodes.
     logging.basicConfig(level=logging.ERROR)
-    process = Process(await orders())
-    job = books.read(path, HollowJob)
+    process = Process(await open_orders())
+    job = records.read(path, HollowJob)
     offset_us = time.time_ns() // 1000 - clock()
-    awaited = len(job.nodes)
-    all_there = asyncio.Event()
+    nodes_without_list = len(job.nodes)
+    all_have_lists = asyncio.Event()
 
-    def one_there() -> None:
-        nonlocal awaited
-        awaited -= 1
-        if not awaited:
-            all_there.set()
+    def count_first_list() -> None:
+        nonlocal nodes_without_list
+        nodes_without_list -= 1
+        if not nodes_without_list:
+            all_have_lists.set()
 
     plant = job.plant if job.plant is not None and job.plant.kind == "keep-gone" else None
-    one = node_config(settings("hollow", "", 0, 1, "127.0.0.1:1"), {})
+    base_config = node_config(node_settings("hollow", "", 0, 1, "127.0.0.1:1"), {})
     nodes = []
-    for node in job.nodes:
-        seed = crc32(f"{job.seed} hollow {node.number}".encode())
-        config = replace(one, seed=seed, settings=replace(one.settings, zone=node.zone))
-        kept = plant.server if plant is not None and plant.follower == node.number else ""
-        hollow = Hollow(node, config, offset_us, kept, one_there)
+    for node_job in job.nodes:
+        seed = crc32(f"{job.seed} hollow {node_job.number}".encode())
+        config = replace(base_config, seed=seed, settings=replace(base_config.settings, zone=node_job.zone))
+        retained_server = plant.server if plant is not None and plant.follower == node_job.number else ""
+        hollow = HollowNode(node_job, config, offset_us, retained_server, count_first_list)
         nodes.append(hollow)
         hollow.discovery.follow()
         await asyncio.sleep(1 / job.opened_per_s)
-    await asyncio.wait_for(all_there.wait(), LIST_WAIT)
+    await asyncio.wait_for(all_have_lists.wait(), FIRST_LIST_TIMEOUT)
     gc.collect()
     gc.freeze()
-    process.tell(Told())
-    order = await process.order()
+    process.send_ready(ReadyMessage())
+    order = await process.read_order()
     if not order.stop:
-        await process.begun(order)
-        while not (await process.order()).stop:
+        await process.wait_for_start(order)
+        while not (await process.read_order()).stop:
             pass
     cpu_s, late_us = process.cpu_s(), process.late_us
-    books.write(Path(job.book), HollowBook([node.close_book() for node in nodes], cpu_s, late_us))
+    records.write(Path(job.book), HollowRecords([node.finish_records() for node in nodes], cpu_s, late_us))
 
 
 if __name__ == "__main__":
--- a/coraldeal/rig/scale/journal.py
+++ b/coraldeal/rig/scale/journal.py
@@ -1,34 +1,39 @@
-"""The journal of a scale run: changes, troubles, a planted fault; no I/O, and nothing that draws."""
+"""The data of a scale run's timeline: changes of the list, fault windows and a planted fault.
+
+Nothing here does I/O or draws random numbers.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-# Troubles of the source itself, or of the way to it.
-OF_SOURCE = ("lost", "silent", "apart")
-# A weight's smallest digits hold the server's sequence: in millionths, under the half that sizes are made of.
-STEP, SEQUENCES = 1_000_000, 100_000
+# Faults of the source itself or of the network path to it.
+SOURCE_FAULTS = ("lost", "silent", "apart")
+# The lowest digits of a weight hold the server's sequence number, in millionths. Sequence numbers stay below
+# half a unit, because base weights are multiples of 0.5.
+WEIGHT_SCALE, MAX_SEQUENCES = 1_000_000, 100_000
 
 
 class Change(msgspec.Struct, array_like=True):
-    """One change at the source. Its generation is its place in the journal and two."""
+    """One change of the list at the source. Its generation is its index in the timeline plus two."""
 
     at_us: int
     place: int
     server: str
     # Ready, Terminating, Gone.
     condition: str
-    # How often this server has changed, itself included, and its size, which holds that too.
+    # The number of changes of this server so far, this one included.
     sequence: int
+    # The server's weight; its lowest digits hold the sequence number.
     weight: float
-    # Whether its process has just started.
-    born: bool
-    # The trouble that it belongs to, or in whose window it falls; or base.
+    # Whether the server's process has just started.
+    restarted: bool
+    # The fault that causes the change or in whose window it falls; otherwise "base".
     label: str
 
 
 class Window(msgspec.Struct, array_like=True):
-    """A trouble's time, and the region that it strikes; -1: all or none."""
+    """The time span of a fault and the region that it affects; -1: all regions, or none in particular."""
 
     name: str
     from_us: int
@@ -36,8 +41,8 @@
     region: int = -1
 
 
-class Plant(msgspec.Struct, array_like=True):
-    """A fault for one follower, which the run must find: which server, and which changes by their place."""
+class PlantedFault(msgspec.Struct, array_like=True):
+    """A fault planted at one follower that the checker must find: the server, and its changes by index."""
 
     kind: str
     follower: int
@@ -46,26 +51,27 @@
 
 
 class Timeline(msgspec.Struct):
-    """All that happens in a run."""
+    """All changes and faults of a run."""
 
     changes: list[Change]
     windows: list[Window]
-    plant: Plant | None = None
+    plant: PlantedFault | None = None
 
 
 def generation(index: int) -> int:
-    """The source's list begins at generation 1."""
+    """The generation of the list after the change at this index; the initial list has generation 1."""
     return index + 2
 
 
-def weight_of(base: float, sequence: int) -> float:
-    """A server's size as it is told: its smallest digits hold how often this server has changed.
+def encode_weight(base: float, sequence: int) -> float:
+    """The weight that the list reports: the base weight with the sequence number in its lowest digits.
 
-    So every state of a server differs from every other, and a list can be read back into the journal also
-    where relays, the wire and the module lie between.
+    This makes every state of a server differ from every other one. A state that a node holds can be matched
+    with the change that made it, even behind relays, the wire format and the module.
     """
-    return round(base * STEP + sequence) / STEP
+    return round(base * WEIGHT_SCALE + sequence) / WEIGHT_SCALE
 
 
-def sequence_of(weight: float) -> int:
-    return round(weight * STEP) % SEQUENCES
+def decode_sequence(weight: float) -> int:
+    """The sequence number that `encode_weight` put into a weight."""
+    return round(weight * WEIGHT_SCALE) % MAX_SEQUENCES
--- a/coraldeal/rig/scale/process.py
+++ b/coraldeal/rig/scale/process.py
@@ -1,4 +1,4 @@
-"""What the processes of a scale run have in common: a job in a file, orders on stdin, lines on stdout."""
+"""Code common to the processes of a scale run: a job in a file, orders on stdin, ready messages on stdout."""
 
 from __future__ import annotations
 
@@ -10,49 +10,61 @@
 import msgspec
 
 from coraldeal.rig.clock import now_us, own_cpu_s, sleep_until
-from coraldeal.rig.scale.books import Order, Told
+from coraldeal.rig.scale.records import Order, ReadyMessage
 
-LOOK_EVERY = 0.05
+# The interval at which the delay of the event loop is measured, in seconds.
+LATENESS_INTERVAL = 0.05
 
 
 class Process:
-    """Orders come as lines; the end of the input is an order to stop, so that none outlives its run."""
+    """The side of a process that talks to the run.
+
+    Orders arrive as lines. The end of the input counts as an order to stop, so that no process outlives its
+    run.
+    """
 
     def __init__(self, orders: asyncio.StreamReader) -> None:
         self.orders = orders
-        self.used = 0.0
+        # Processor time of this process at the start of the timeline, in seconds.
+        self.cpu_s_at_start = 0.0
+        # The longest delay of the event loop since then.
         self.late_us = 0
-        self.lateness: asyncio.Task[None] | None = None
+        self.lateness_task: asyncio.Task[None] | None = None
 
-    async def order(self) -> Order:
+    async def read_order(self) -> Order:
+        """Wait for the next order and return it."""
         line = await self.orders.readline()
         return msgspec.json.decode(line, type=Order) if line.strip() else Order(stop=True)
 
-    def tell(self, told: Told) -> None:
-        sys.stdout.buffer.write(msgspec.json.encode(told) + b"\n")
+    def send_ready(self, message: ReadyMessage) -> None:
+        """Report to the run that this process is ready."""
+        sys.stdout.buffer.write(msgspec.json.encode(message) + b"\n")
         sys.stdout.buffer.flush()
 
-    async def begun(self, order: Order) -> None:
-        """Wait for the begin; what is used of the processor counts from there."""
+    async def wait_for_start(self, order: Order) -> None:
+        """Wait for the order's start time; processor time and delays are counted from there."""
         await sleep_until(order.begin_us)
-        self.used = own_cpu_s()
-        self.lateness = asyncio.create_task(self._watch_lateness())
+        self.cpu_s_at_start = own_cpu_s()
+        self.lateness_task = asyncio.create_task(self._watch_lateness())
 
     def cpu_s(self) -> float:
-        return own_cpu_s() - self.used
+        """Processor time since the start, in seconds."""
+        return own_cpu_s() - self.cpu_s_at_start
 
     async def _watch_lateness(self) -> None:
         while True:
-            due = now_us() + int(LOOK_EVERY * 1e6)
-            await asyncio.sleep(LOOK_EVERY)
-            self.late_us = max(self.late_us, now_us() - due)
+            scheduled_us = now_us() + int(LATENESS_INTERVAL * 1e6)
+            await asyncio.sleep(LATENESS_INTERVAL)
+            self.late_us = max(self.late_us, now_us() - scheduled_us)
 
 
 def start(main: Coroutine[Any, Any, None]) -> None:
+    """Run the main coroutine of a process."""
     asyncio.run(main)
 
 
-async def orders() -> asyncio.StreamReader:
+async def open_orders() -> asyncio.StreamReader:
+    """Open stdin as a stream of orders."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
--- a/coraldeal/rig/scale/relays.py
+++ b/coraldeal/rig/scale/relays.py
@@ -1,4 +1,4 @@
-"""Relay processes of a scale run: `coraldeal relay` as an operator starts it."""
+"""The relay processes of a scale run: `coraldeal relay`, started as an operator starts it."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 from coraldeal.rig.experiment import ExperimentError
 from coraldeal.rig.nodes import ROOT, _end_with_parent, process_figures
 
-READY_WAIT = 60.0
+# The longest time that a relay may need to become ready, in seconds.
+READY_TIMEOUT = 60.0
 
 
 class RelayProcess:
-    """One relay: its file, its process, its figures."""
+    """One relay: its configuration file, its process and its use of resources."""
 
     def __init__(self, number: int, region: int, port: int, folder: Path) -> None:
         self.number = number
@@ -27,10 +28,10 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self, sources: Sequence[str] = ()) -> None:
-        """Begin, or begin again by the file written before."""
+        """Start the relay; without sources, start it again with the file written before."""
         if sources:
-            told = {"listen": self.address, "sources": list(sources), "followers": 4000}
-            lines = [f"{key} = {json.dumps(value)}" for key, value in told.items()]
+            settings = {"listen": self.address, "sources": list(sources), "followers": 4000}
+            lines = [f"{key} = {json.dumps(value)}" for key, value in settings.items()]
             self.path.write_text("\n".join(["[relay]", *lines, ""]), encoding="utf-8")
         with self.path.with_suffix(".log").open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -43,10 +44,10 @@
             )  # fmt: skip
 
     async def until_ready(self) -> None:
-        """Until it has a list; raises ExperimentError where it never has."""
+        """Wait until the relay has a list; raises ExperimentError if it has none after READY_TIMEOUT."""
         host, _, port = self.address.rpartition(":")
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(READY_WAIT):
+            async with asyncio.timeout(READY_TIMEOUT):
                 while True:
                     with contextlib.suppress(OSError):
                         reader, writer = await asyncio.open_connection(host, int(port))
@@ -56,14 +57,15 @@
                         if answer.startswith(b"HTTP/1.1 200"):
                             return
                     await asyncio.sleep(0.05)
-        raise ExperimentError(f"relay {self.number} has no list after {READY_WAIT:g} s")
+        raise ExperimentError(f"relay {self.number} has no list after {READY_TIMEOUT:g} s")
 
     def figures(self) -> tuple[float, float]:
-        """Processor time used so far in seconds, and memory held in MB."""
+        """Processor time used so far, in seconds, and resident memory, in MB."""
         assert self.process is not None
         return process_figures(self.process.pid)
 
     async def kill(self) -> None:
+        """End the relay's process with SIGKILL, if it runs, and wait for its end."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
--- a/coraldeal/rig/scale/topology.py
+++ b/coraldeal/rig/scale/topology.py
@@ -1,4 +1,4 @@
-"""Whom a node asks for its list: the one place that knows how lists travel from the source. No I/O."""
+"""The addresses that a node asks for its list: the only module that knows how lists travel. No I/O."""
 
 from __future__ import annotations
 
@@ -9,28 +9,32 @@
 
 
 class Topology(Protocol):
-    """How lists travel."""
+    """The way in which lists travel from the source to the nodes."""
 
     name: str
 
     def addresses(self, region: int, number: int) -> list[str]:
-        """Whom a node of this region, with this number, asks: the first, then the others in their order."""
+        """The addresses for node `number` of this region: the one it asks first, then the others in order."""
 
 
 class Direct:
-    """Every node asks the source, at its region's own address."""
+    """A topology in which every node asks the source at its region's endpoint."""
 
     name = "direct"
 
-    def __init__(self, doors: Mapping[int, str]) -> None:
-        self.doors = doors
+    def __init__(self, endpoints: Mapping[int, str]) -> None:
+        self.endpoints = endpoints
 
     def addresses(self, region: int, number: int) -> list[str]:
-        return [self.doors[region]]
+        """The endpoint of the region, for every node of it."""
+        return [self.endpoints[region]]
 
 
 class Relays:
-    """Nodes ask the relays of their region, each in an order of its own, so that followers spread evenly."""
+    """A topology in which nodes ask the relays of their region.
+
+    Each node has its own order of relays, so that followers are spread evenly.
+    """
 
     name = "relays"
 
@@ -38,4 +42,5 @@
         self.regions = regions
 
     def addresses(self, region: int, number: int) -> list[str]:
+        """All relays of the region, in the order of this node."""
         return in_own_order(self.regions[region], str(number))
