--- a/coraldeal/rig/listing.py
+++ b/coraldeal/rig/listing.py
@@ -1,6 +1,6 @@
-"""A stand-in for the list of servers: one port for each node, the whole list or a watch, as the page says.
+"""A stand-in for discovery: it serves the list of servers, in full or as a watch, at one port for each node.
 
-It writes down when it told which node of what: the rule on drains counts from there.
+It records which change it sent to which node and when: the rule on drains counts from that time.
 """
 
 from __future__ import annotations
@@ -15,106 +15,121 @@
 from coraldeal.rig.books import Book, ListRow, ToldRow
 from coraldeal.rig.clock import now_us
 
-EMPTY_EVERY = 2.0
-# Generations of changes kept for watches that begin again.
-KEPT = 1000
-# For how long an address that was given up goes on with the watches it has, in seconds.
-MOVED_AFTER = 1.5
+# The interval of empty lines on a watch, in seconds.
+KEEP_ALIVE_INTERVAL = 2.0
+# The number of recent changes kept for watches that continue from their generation.
+MAX_CHANGES_KEPT = 1000
+# How long a retired endpoint keeps its open watches, in seconds.
+RETIRED_CLOSE_DELAY = 1.5
 
 
 @dataclass(slots=True)
-class Listed:
-    """A server as the list knows it."""
+class ListedServer:
+    """A server in the list."""
 
     name: str
     zone: str
     cell: int
-    # A port for each zone of origin.
+    # The server's port for the nodes of each zone.
     ports: dict[str, int]
     condition: str = "Ready"
-    born_ms: int = 0
+    # When the server started, in milliseconds since the epoch; 0: unknown.
+    started_ms: int = 0
 
 
 class Listing:
-    """The list of one tier, for all nodes before it."""
+    """The list of one tier of servers, for all nodes in front of it."""
 
     def __init__(self, layer: int, book: Book, delay_us: int) -> None:
         self.layer = layer
         self.book = book
+        # The time from a change of a server to the change of the list, and an injected delay in addition.
         self.delay_us = delay_us
-        self.extra_us = 0
+        self.extra_delay_us = 0
         self.down = False
         self.wrong = False
         self.generation = 1
-        self.servers: dict[str, Listed] = {}
-        self.changes: list[tuple[int, Listed]] = []
-        self.doors: list[NodeDoor] = []
+        self.servers: dict[str, ListedServer] = {}
+        self.changes: list[tuple[int, ListedServer]] = []
+        self.endpoints: list[NodeEndpoint] = []
 
-    def add(self, server: Listed) -> None:
-        """Before the run."""
+    def add(self, server: ListedServer) -> None:
+        """Add a server before the run starts."""
         self.servers[server.name] = server
 
     async def open(self, node: int, zone: str) -> int:
-        """The port at which this node finds its list."""
-        door = NodeDoor(self, node, zone)
-        self.doors.append(door)
-        return await door.listen()
+        """Open an endpoint for a node, and return its port."""
+        endpoint = NodeEndpoint(self, node, zone)
+        self.endpoints.append(endpoint)
+        return await endpoint.listen()
 
     async def move(self, node: int, zone: str) -> int:
-        """Another port for this node; the old one takes no new connection and closes the open ones later."""
-        old = [door for door in self.doors if door.node == node]
+        """Open another endpoint for a node, and return its port.
+
+        The old endpoints accept no new connection, and close their open ones after RETIRED_CLOSE_DELAY.
+        """
+        old = [endpoint for endpoint in self.endpoints if endpoint.node == node]
         port = await self.open(node, zone)
-        for door in old:
-            door.retire()
+        for endpoint in old:
+            endpoint.retire()
         return port
 
-    def whole(self, zone: str, generation: int | None = None) -> dict[str, Any]:
-        """The list in the platform's form."""
+    def full_list(self, zone: str, generation: int | None = None) -> dict[str, Any]:
+        """The full list for a node of this zone, in the platform's format."""
         return {
             "generation": self.generation if generation is None else generation,
             "reset": True,
             "instances": [entry(server, zone) for server in self.servers.values()],
         }
 
-    def change(self, name: str, condition: str, born: bool = False) -> None:
-        """Something has happened to a server: the list tells it after its delay."""
+    def change(self, name: str, condition: str, restarted: bool = False) -> None:
+        """Schedule a change of the list, after its delay, for a server whose condition has changed."""
         loop = asyncio.get_running_loop()
-        born_ms = int(time.time() * 1000) if born else 0
-        loop.call_later((self.delay_us + self.extra_us) / 1e6, self._changed, name, condition, born_ms)
+        started_ms = int(time.time() * 1000) if restarted else 0
+        loop.call_later(
+            (self.delay_us + self.extra_delay_us) / 1e6, self._apply_change, name, condition, started_ms
+        )
 
-    def _changed(self, name: str, condition: str, born_ms: int) -> None:
+    def _apply_change(self, name: str, condition: str, started_ms: int) -> None:
         server = self.servers[name]
-        changed = Listed(name, server.zone, server.cell, server.ports, condition, born_ms or server.born_ms)
+        changed = ListedServer(
+            name, server.zone, server.cell, server.ports, condition, started_ms or server.started_ms
+        )
         self.servers[name] = changed
         self.generation += 1
         self.book.lists.append(ListRow(self.layer, now_us(), "has", name, condition))
         self.changes.append((self.generation, changed))
-        del self.changes[:-KEPT]
-        for door in self.doors:
-            door.push()
+        del self.changes[:-MAX_CHANGES_KEPT]
+        for endpoint in self.endpoints:
+            endpoint.push()
 
     def set_down(self, down: bool) -> None:
-        """Down, watches end and calls fail."""
+        """Start or end an outage of the list, in which watches end and calls fail."""
         if down != self.down:
             self.book.lists.append(ListRow(self.layer, now_us(), "down" if down else "up"))
         self.down = down
         if down:
-            for door in self.doors:
-                door.end_watches()
+            for endpoint in self.endpoints:
+                endpoint.end_watches()
 
     def set_wrong(self, wrong: bool) -> None:
-        """Wrong, it tells of servers that never were, with words nobody knows, and lines none can read."""
+        """Start or end sending wrong lists.
+
+        At the start, each watch gets a server that does not exist, with an unknown lifecycle, and a malformed
+        line.
+        """
         self.wrong = wrong
-        for door in self.doors:
-            door.push_wrong()
+        for endpoint in self.endpoints:
+            endpoint.push_wrong()
 
     async def close(self) -> None:
-        for door in self.doors:
-            await door.close()
+        """Close all endpoints."""
+        for endpoint in self.endpoints:
+            await endpoint.close()
 
 
-def entry(server: Listed, zone: str) -> dict[str, Any]:
-    """One line of the list as told to a node of this zone."""
+def entry(server: ListedServer, zone: str) -> dict[str, Any]:
+    """The entry of a server in the list for a node of this zone."""
     return {
         "instanceId": server.name,
         "hostPort": f"127.0.0.1:{server.ports.get(zone) or next(iter(server.ports.values()))}",
@@ -123,86 +138,91 @@
         "cell": server.cell,
         "lifecycle": server.condition,
         "weight": 1.0,
-        "startedAtMs": server.born_ms,
+        "startedAtMs": server.started_ms,
     }
 
 
-def told_rows(node: int, layer: int, told: dict[str, Any]) -> list[ToldRow]:
-    """What a list or its changes tell a node now, a row for each server."""
-    now, version = now_us(), told["generation"]
+def notification_records(node: int, layer: int, message: dict[str, Any]) -> list[ToldRow]:
+    """The records of a full list, or of changes, that a node is sent now: one for each server."""
+    now, version = now_us(), message["generation"]
     return [
         ToldRow(node, layer, now, item["instanceId"], item["lifecycle"], version)
-        for item in told["instances"]
+        for item in message["instances"]
     ]
 
 
-class NodeDoor:
-    """Where one node asks for the list."""
+class NodeEndpoint:
+    """The endpoint at which one node asks for the list."""
 
     def __init__(self, listing: Listing, node: int, zone: str) -> None:
         self.listing = listing
         self.node = node
         self.zone = zone
-        # The open watches, with the generation each has been told.
+        # The open watches, with the generation that each was sent last.
         self.watches: dict[asyncio.StreamWriter, int] = {}
         self.server: asyncio.Server | None = None
-        self.talks: dict[asyncio.Task[None] | None, None] = {}
-        self.over = asyncio.Event()
+        self.connections: dict[asyncio.Task[None] | None, None] = {}
+        self.closing = asyncio.Event()
 
     async def listen(self) -> int:
-        self.server = await asyncio.start_server(self._talk, "127.0.0.1", 0)
+        """Start to listen, and return the port."""
+        self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
     async def close(self) -> None:
-        self.over.set()
+        """Stop listening, end all watches, and wait for the end of all connections."""
+        self.closing.set()
         self.end_watches()
         if self.server is not None:
             self.server.close()
-        for talk in [talk for talk in self.talks if talk is not None]:
-            await talk
+        for connection in [connection for connection in self.connections if connection is not None]:
+            await connection
 
     def retire(self) -> None:
+        """Stop listening now, and end the open watches after RETIRED_CLOSE_DELAY."""
         if self.server is not None:
             self.server.close()
-        asyncio.get_running_loop().call_later(MOVED_AFTER, self.end_watches)
+        asyncio.get_running_loop().call_later(RETIRED_CLOSE_DELAY, self.end_watches)
 
     def end_watches(self) -> None:
+        """Abort the connections of all watches."""
         for writer in list(self.watches):
             writer.transport.abort()
         self.watches.clear()
 
     def push(self) -> None:
-        """Tell each watch what it has not been told."""
-        for writer, told in list(self.watches.items()):
-            changed = [entry(s, self.zone) for number, s in self.listing.changes if number > told]
+        """Send to each watch the changes after the generation that it was sent last."""
+        for writer, sent in list(self.watches.items()):
+            changed = [entry(s, self.zone) for number, s in self.listing.changes if number > sent]
             if not changed:
                 continue
             generation = self.listing.generation
-            self._line(writer, {"generation": generation, "reset": False, "instances": changed})
+            self._write_line(writer, {"generation": generation, "reset": False, "instances": changed})
             self.watches[writer] = generation
 
     def push_wrong(self) -> None:
+        """Send to each watch a server that does not exist and a malformed line, while the list is wrong."""
         if not self.listing.wrong:
             return
-        ghost = Listed("ghost-0", self.zone, 0, {self.zone: 9}, "Sleeping")
+        ghost = ListedServer("ghost-0", self.zone, 0, {self.zone: 9}, "Sleeping")
         for writer in list(self.watches):
             generation = self.listing.generation
-            told = {"generation": generation, "reset": False, "instances": [entry(ghost, self.zone)]}
-            self._line(writer, told)
+            message = {"generation": generation, "reset": False, "instances": [entry(ghost, self.zone)]}
+            self._write_line(writer, message)
             writer.write(chunk(b'{"generation": "what", "instances": [{]}\n'))
 
-    def _line(self, writer: asyncio.StreamWriter, told: dict[str, Any]) -> None:
-        writer.write(chunk(json.dumps(told).encode() + b"\n"))
-        self._note(told)
+    def _write_line(self, writer: asyncio.StreamWriter, message: dict[str, Any]) -> None:
+        writer.write(chunk(json.dumps(message).encode() + b"\n"))
+        self._record(message)
 
-    def _note(self, told: dict[str, Any]) -> None:
-        self.listing.book.told += told_rows(self.node, self.listing.layer, told)
+    def _record(self, message: dict[str, Any]) -> None:
+        self.listing.book.told += notification_records(self.node, self.listing.layer, message)
 
-    async def _talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        talk = asyncio.current_task()
-        self.talks[talk] = None
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        connection = asyncio.current_task()
+        self.connections[connection] = None
         try:
-            while not self.over.is_set():
+            while not self.closing.is_set():
                 head = await reader.readuntil(b"\r\n\r\n")
                 target = head.split(b" ", 2)[1].decode("latin-1")
                 if self.listing.down:
@@ -211,14 +231,14 @@
                 if "watch=1" in target:
                     await self._watch(target, writer)
                     return
-                told = self.listing.whole(self.zone)
-                body = json.dumps(told).encode()
+                message = self.listing.full_list(self.zone)
+                body = json.dumps(message).encode()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-                self._note(told)
+                self._record(message)
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError, IndexError):
             pass
         finally:
-            self.talks.pop(talk)
+            self.connections.pop(connection)
             self.watches.pop(writer, None)
             with contextlib.suppress(ConnectionError):
                 writer.close()
@@ -231,18 +251,18 @@
         oldest = listing.changes[0][0] if listing.changes else listing.generation + 1
         if 0 < since <= listing.generation and since >= oldest - 1:
             changed = [entry(s, self.zone) for number, s in listing.changes if number > since]
-            self._line(writer, {"generation": listing.generation, "reset": False, "instances": changed})
+            self._write_line(writer, {"generation": listing.generation, "reset": False, "instances": changed})
         else:
-            self._line(writer, listing.whole(self.zone))
+            self._write_line(writer, listing.full_list(self.zone))
         self.watches[writer] = listing.generation
         while not writer.is_closing():
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self.over.wait(), EMPTY_EVERY)
+                await asyncio.wait_for(self.closing.wait(), KEEP_ALIVE_INTERVAL)
             if writer in self.watches:
                 writer.write(chunk(b"\n"))
                 await writer.drain()
 
 
 def chunk(data: bytes) -> bytes:
-    """These bytes as one chunk of a chunked answer."""
+    """Encode bytes as one chunk of a chunked response."""
     return b"%x\r\n%b\r\n" % (len(data), data)
