--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -1,8 +1,8 @@
-"""What one more of something costs: measured at several sizes, with a line fitted through the measures.
+"""Measures costs at several sizes and fits a line, whose slope is the cost of one more: `rig scale slopes`.
 
-`coraldeal rig scale slopes`. Each measure is taken in this process on the product's own classes, or on a real
-node process. Processor time is this thread's or that process's own, so that what else runs on the machine
-counts only by what it does to caches and clocks; the collector of cycles is off in this process meanwhile.
+Each cost is measured in this process on the product's own classes, or on a real node process. Processor time
+is that of this thread or of that process, so other load on the machine counts only by its effect on caches
+and clock rates. The garbage collector of this process is off during a measurement.
 """
 
 from __future__ import annotations
@@ -46,52 +46,54 @@
 from coraldeal.rig.books import Book
 from coraldeal.rig.clock import run as on_clock
 from coraldeal.rig.experiment import Experiment, ExperimentError, Load, TierSpec, TrackSpec, Variant, World
-from coraldeal.rig.listing import Listed as ListedServer
-from coraldeal.rig.listing import Listing, entry
+from coraldeal.rig.listing import ListedServer, Listing, entry
 from coraldeal.rig.nodes import NodeProcess, process_figures, program_of
 from coraldeal.rig.play import Play
 
-# Servers in a list: a service, ten, a hundred, and all of the target.
-SERVERS = (31, 310, 3_100, 21_000)
+# Numbers of servers in a list: one service, ten, a hundred, and all of the target.
+SERVER_COUNTS = (31, 310, 3_100, 21_000)
+# Numbers of followers, connections, changes and messages.
 COUNTS = (200, 400, 800, 1_600)
-TRACKS = (4, 16, 64, 256)
+REQUEST_CLASS_COUNTS = (4, 16, 64, 256)
+# Calls per second.
 RATES = (20, 50, 100, 200)
+# The sizes with --quick.
 QUICK = (10, 20, 40, 80)
 ZONES = 41
 REPEATS = 5
-# The node's place in the target: one of as many nodes as servers.
+# The number of nodes in the target, which is that of servers; the measured node is one of them.
 NODES = 21_000
 SECOND = 1_000_000
-# Seconds that a node process is left alone before, and while, its idle time is measured.
+# Seconds that a node process gets to settle, and seconds over which its idle processor time is measured.
 SETTLE, IDLE_FOR = 2.0, 6.0
 
 
 @dataclass(slots=True)
 class Fit:
-    """A line through measures, by least squares."""
+    """A line fitted to measurements by least squares."""
 
     slope: float
     intercept: float
-    # The root of the mean square of what the line misses, as a part of the mean measure.
+    # The root mean square of the residuals, as a fraction of the mean measurement.
     residual: float
 
 
 def fit(points: list[tuple[float, float]]) -> Fit:
-    """The line that fits best; raises ExperimentError where there is none."""
+    """Fit a line to points of size and cost; raises ExperimentError for fewer than two sizes."""
     if len({size for size, _ in points}) < 2:
-        raise ExperimentError("a line needs measures at two sizes at least")
+        raise ExperimentError("a line needs measurements at two sizes or more")
     count = len(points)
-    middle = sum(size for size, _ in points) / count
-    mean = sum(measure for _, measure in points) / count
-    spread = sum((size - middle) ** 2 for size, _ in points)
-    slope = sum((size - middle) * (measure - mean) for size, measure in points) / spread
-    intercept = mean - slope * middle
-    missed = sum((measure - intercept - slope * size) ** 2 for size, measure in points) / count
-    return Fit(slope, intercept, missed**0.5 / abs(mean) if mean else 0.0)
+    mean_size = sum(size for size, _ in points) / count
+    mean_cost = sum(cost for _, cost in points) / count
+    spread = sum((size - mean_size) ** 2 for size, _ in points)
+    slope = sum((size - mean_size) * (cost - mean_cost) for size, cost in points) / spread
+    intercept = mean_cost - slope * mean_size
+    mean_square = sum((cost - intercept - slope * size) ** 2 for size, cost in points) / count
+    return Fit(slope, intercept, mean_square**0.5 / abs(mean_cost) if mean_cost else 0.0)
 
 
 class _StillHost:
-    """A clock that stands, and acts that nothing comes of."""
+    """A host of the decision module whose clock stands still and whose methods do nothing."""
 
     now = 1_000 * SECOND
 
@@ -103,18 +105,18 @@
     return None
 
 
-def _track(number: int) -> Track:
+def _request_class(number: int) -> Track:
     return Track(f"track-{number}", Effect.REDOABLE, Group.ALL, 0, SECOND // 2, SECOND, 1.0, 0.0)
 
 
-def _settings(tracks: int = 2, instances: int = NODES) -> Settings:
+def _settings(request_classes: int = 2, instances: int = NODES) -> Settings:
     return Settings(
         layer=0,
         instances=instances,
         self_index=instances // 3,
         tick_us=1_000,
         zone="zone-0",
-        tracks=[_track(number) for number in range(tracks)],
+        tracks=[_request_class(number) for number in range(request_classes)],
         tenants=[],
         beyond_share_payoff=0.05,
         list_is_asked=False,
@@ -135,25 +137,25 @@
 
 
 def _listed(count: int) -> list[Listed]:
-    """Entries with an address of their own each."""
+    """Entries of the list, each with its own address."""
     return [
         Listed(_entry(number), f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080")
         for number in range(count)
     ]
 
 
-def _whole(count: int) -> dict[str, Any]:
-    """A whole list as the stand-in of the list tells it."""
-    told = [
+def _list_message(count: int) -> dict[str, Any]:
+    """A full list in the format in which the stand-in for discovery sends it."""
+    servers = [
         ListedServer(f"server-{number}", f"zone-{number % ZONES}", number, {"a": 10_000 + number % 50_000})
         for number in range(count)
     ]
-    return {"generation": 1, "reset": True, "instances": [entry(server, "a") for server in told]}
+    return {"generation": 1, "reset": True, "instances": [entry(server, "a") for server in servers]}
 
 
 @contextmanager
-def _uncollected() -> Iterator[None]:
-    """No pause of the collector within a measure; what is there already is not looked through again."""
+def _without_collector() -> Iterator[None]:
+    """Run the garbage collector once, and keep it off meanwhile, so that it does not pause a measurement."""
     enabled = gc.isenabled()
     gc.collect()
     gc.disable()
@@ -165,12 +167,12 @@
 
 
 def _cost_us(act: Callable[[], object], repeats: int = REPEATS) -> float:
-    """Median processor time of this thread in one call, in microseconds."""
+    """The median processor time of this thread in one call of `act`, in microseconds."""
     costs = []
     for _ in range(repeats):
-        begun = time.thread_time_ns()
+        started_ns = time.thread_time_ns()
         act()
-        costs.append((time.thread_time_ns() - begun) / 1000)
+        costs.append((time.thread_time_ns() - started_ns) / 1000)
     return median(costs)
 
 
@@ -180,8 +182,8 @@
     return balancer
 
 
-def whole_list(count: int) -> float:
-    """The decisions' part of a whole list, all of it known already."""
+def full_list(count: int) -> float:
+    """The processor time of the decision module for a full list whose servers it already has."""
     balancer = _balancer(count)
     entries = [_entry(number) for number in range(count)]
     return _cost_us(lambda: balancer.servers_listed(ListKind.WHOLE, entries))
@@ -189,56 +191,57 @@
 
 def _change(count: int, instances: int) -> float:
     balancer = _balancer(count, instances)
-    drains = [_entry(count // 2, Condition.DRAINING)], [_entry(count // 2)]
+    changes = [_entry(count // 2, Condition.DRAINING)], [_entry(count // 2)]
 
-    def there_and_back() -> None:
-        for change in drains:
+    def drain_and_restore() -> None:
+        for change in changes:
             balancer.servers_listed(ListKind.CHANGES, change)
 
-    return _cost_us(there_and_back, 4 * REPEATS) / 2
+    return _cost_us(drain_and_restore, 4 * REPEATS) / 2
 
 
 def change(count: int) -> float:
-    """The decisions' part of one change, at one of many nodes."""
+    """The processor time of the decision module for one change, at one of many nodes."""
     return _change(count, NODES)
 
 
 def change_alone(count: int) -> float:
-    """The same at a node that is alone, and sends to all servers."""
+    """The processor time of the decision module for one change, at a lone node that sends to all servers."""
     return _change(count, 1)
 
 
 def sweep(count: int) -> float:
-    """What the module does four times a second, at one of many nodes."""
+    """The processor time of the decision module's sweep (four times a second), at one of many nodes."""
     balancer = _balancer(count)
     return _cost_us(lambda: balancer.alarm("sweep"), 4 * REPEATS)
 
 
 def settings_by_servers(count: int) -> float:
-    """The decisions' part of other settings."""
+    """The processor time of the decision module for new settings, with this many servers."""
     balancer = _balancer(count)
-    two = _settings(), replace(_settings(), max_attempts=4)
+    alternatives = _settings(), replace(_settings(), max_attempts=4)
 
-    def both() -> None:
-        for settings in two:
+    def apply_both() -> None:
+        for settings in alternatives:
             balancer.settings_changed(settings)
 
-    return _cost_us(both) / 2
+    return _cost_us(apply_both) / 2
 
 
-def settings_by_tracks(count: int) -> float:
+def settings_by_request_classes(count: int) -> float:
+    """The processor time of the decision module for new settings, with this many request classes."""
     balancer = _balancer(31)
-    two = _settings(count), replace(_settings(count), max_attempts=4)
+    alternatives = _settings(count), replace(_settings(count), max_attempts=4)
 
-    def both() -> None:
-        for settings in two:
+    def apply_both() -> None:
+        for settings in alternatives:
             balancer.settings_changed(settings)
 
-    return _cost_us(both) / 2
+    return _cost_us(apply_both) / 2
 
 
 def entry_bytes(count: int) -> float:
-    """Memory of a list in the module and in the node's targets, with the entries themselves."""
+    """The memory of a list in the decision module and in the node's `Servers`, including the entries."""
 
     async def held() -> float:
         tracemalloc.start()
@@ -263,93 +266,93 @@
 
 
 def learn(count: int) -> float:
-    """The node's targets from a whole list that is new to it."""
+    """The processor time of the node's `Servers` for a full list of servers that are new to it."""
 
-    async def learned() -> float:
+    async def measure() -> float:
         listed = _listed(count)
         costs = []
         for _ in range(REPEATS):
             servers = _servers()
-            costs.append(_cost_us(lambda kept=servers: kept.learn(listed, whole=True), 1))  # type: ignore[misc]
+            costs.append(_cost_us(lambda fresh=servers: fresh.learn(listed, whole=True), 1))  # type: ignore[misc]
             await servers.close()
             if costs[-1] > SECOND:
-                # Seconds of it are surely no noise.
+                # A cost of more than a second needs no repeats to stand out from noise.
                 break
         return median(costs)
 
-    return asyncio.run(learned())
+    return asyncio.run(measure())
 
 
 def learn_change(count: int) -> float:
-    """The node's targets from one change."""
+    """The processor time of the node's `Servers` for one change."""
 
-    async def learned() -> float:
+    async def measure() -> float:
         listed = _listed(count)
         servers = _servers()
         servers.learn(listed, whole=True)
-        one, place = listed[count // 2], count // 2
-        two = [one._replace(entry=_entry(place, Condition.GONE))], [one]
+        server, index = listed[count // 2], count // 2
+        changes = [server._replace(entry=_entry(index, Condition.GONE))], [server]
 
-        def there_and_back() -> None:
-            for change in two:
+        def remove_and_restore() -> None:
+            for change in changes:
                 servers.learn(change)
 
-        cost = _cost_us(there_and_back, 4 * REPEATS) / 2
+        cost = _cost_us(remove_and_restore, 4 * REPEATS) / 2
         await servers.close()
         return cost
 
-    return asyncio.run(learned())
+    return asyncio.run(measure())
 
 
 def close_idle(count: int) -> float:
-    """Looking for a connection at rest, where there is none."""
+    """The processor time of a search for an idle connection to close, when there is none."""
 
-    async def looked() -> float:
+    async def measure() -> float:
         servers = _servers()
         servers.learn(_listed(count), whole=True)
         cost = _cost_us(servers.close_one_idle, 4 * REPEATS)
         await servers.close()
         return cost
 
-    return asyncio.run(looked())
+    return asyncio.run(measure())
 
 
 def list_bytes(count: int) -> float:
-    """A whole list as JSON."""
-    return float(len(json.dumps(_whole(count)).encode()))
+    """The size of a full list as JSON, in bytes."""
+    return float(len(json.dumps(_list_message(count)).encode()))
 
 
 def parse(count: int) -> float:
-    """A whole list from bytes to entries: framing and reading."""
-    text = json.dumps(_whole(count)).encode()
-    return _cost_us(lambda: [read_list(whole, 0) for whole in Objects().feed(text)])
+    """The processor time from the bytes of a full list to its entries: framing and reading."""
+    text = json.dumps(_list_message(count)).encode()
+    return _cost_us(lambda: [read_list(message, 0) for message in Objects().feed(text)])
 
 
 def parse_changes(count: int) -> float:
-    """So many changes of one server each, as they come on a watch, one piece each."""
-    told = _whole(1)["instances"]
+    """The processor time to parse this many changes of one server each, as they arrive on a watch."""
+    instances = _list_message(1)["instances"]
     lines = [
-        json.dumps({"generation": number, "reset": False, "instances": told}).encode() + b"\n"
+        json.dumps({"generation": number, "reset": False, "instances": instances}).encode() + b"\n"
         for number in range(count)
     ]
 
     def read() -> None:
         objects = Objects()
         for line in lines:
-            for whole in objects.feed(line):
-                read_list(whole, 0)
+            for message in objects.feed(line):
+                read_list(message, 0)
 
     return _cost_us(read)
 
 
 async def _follow(count: int) -> tuple[float, float]:
-    """With so many followers: microseconds of one change, bytes held."""
+    """With this many followers: the microseconds of one change, and the bytes held."""
     listing = Listing(0, Book(), 0)
     for number in range(31):
         listing.add(ListedServer(f"server-{number}", "a", number, {"a": 10_000 + number}))
     loop = asyncio.get_running_loop()
     port = await listing.open(0, "a")
-    door = listing.doors[0]
+    endpoint = listing.endpoints[0]
     followers: list[socket.socket] = []
     try:
         tracemalloc.start()
@@ -360,7 +363,7 @@
             follower.setblocking(False)
             await loop.sock_connect(follower, ("127.0.0.1", port))
             await loop.sock_sendall(follower, b"GET /v1/endpoints?watch=1 HTTP/1.1\r\n\r\n")
-        while len(door.watches) < count:
+        while len(endpoint.watches) < count:
             await asyncio.sleep(0.01)
         listing.book.told.clear()
         held = float(tracemalloc.get_traced_memory()[0] - before)
@@ -368,7 +371,12 @@
         costs = []
         for turn in range(REPEATS):
             costs.append(
-                _cost_us(lambda n=turn: listing._changed("server-3", ("Terminating", "Ready")[n % 2], 0), 1)  # type: ignore[misc]
+                _cost_us(
+                    lambda n=turn: listing._apply_change(  # type: ignore[misc]
+                        "server-3", ("Terminating", "Ready")[n % 2], 0
+                    ),
+                    1,
+                )
             )
             await asyncio.sleep(0.01)
         return median(costs), held
@@ -380,57 +388,60 @@
 
 
 def follower_cpu(count: int) -> float:
-    """The rig's list telling one change to all that follow it, one encoding each."""
+    """The processor time of the stand-in for discovery to send one change, encoded for each follower."""
     return asyncio.run(_follow(count))[0]
 
 
 def follower_bytes(count: int) -> float:
-    """What the rig's list holds for those that follow it (tracemalloc: no buffers of the kernel)."""
+    """The memory of the stand-in for discovery for its followers (tracemalloc: without kernel buffers)."""
     return asyncio.run(_follow(count))[1]
 
 
 def _free_port() -> int:
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as found:
-        found.bind(("127.0.0.1", 0))
-        return int(found.getsockname()[1])
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.bind(("127.0.0.1", 0))
+        return int(probe.getsockname()[1])
 
 
-def note_send(count: int) -> float:
-    """So many notes sent, each in a turn of the loop of its own, a millisecond apart."""
+def peer_message_send(count: int) -> float:
+    """The processor time to send this many peer messages, a millisecond apart, each in its own loop turn."""
 
-    async def sent() -> float:
+    async def measure() -> float:
         nodes = (("127.0.0.1", _free_port()), ("127.0.0.1", _free_port()))
-        carrier = Carrier(nodes, 0, lambda number, note: None)
-        await carrier.open()
-        note = Note(NoteKind.ASK, 77, 3)
-        begun = time.thread_time_ns()
+        transport = Carrier(nodes, 0, lambda number, message: None)
+        await transport.open()
+        message = Note(NoteKind.ASK, 77, 3)
+        started_ns = time.thread_time_ns()
         for _ in range(count):
-            carrier.tell(1, note)
+            transport.tell(1, message)
             await asyncio.sleep(0.001)
-        cost = (time.thread_time_ns() - begun) / 1000
-        carrier.close()
+        cost = (time.thread_time_ns() - started_ns) / 1000
+        transport.close()
         return cost
 
-    return asyncio.run(sent())
+    return asyncio.run(measure())
 
 
-def note_receive(count: int) -> float:
-    """So many notes received, a millisecond apart; a thread of its own sends them."""
+def peer_message_receive(count: int) -> float:
+    """The processor time to receive this many peer messages, a millisecond apart; another thread sends them.
 
-    async def received() -> float:
+    Raises ExperimentError if messages are lost on loopback.
+    """
+
+    async def measure() -> float:
         ports = _free_port(), _free_port()
         nodes = tuple(("127.0.0.1", port) for port in ports)
-        came = 0
+        received = 0
         done = asyncio.Event()
 
-        def take(number: int, note: Note) -> None:
-            nonlocal came
-            came += 1
-            if came == count:
+        def receive(number: int, message: Note) -> None:
+            nonlocal received
+            received += 1
+            if received == count:
                 done.set()
 
-        carrier = Carrier(nodes, 0, take)
-        await carrier.open()
+        transport = Carrier(nodes, 0, receive)
+        await transport.open()
 
         def send() -> None:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
@@ -440,143 +451,149 @@
                     time.sleep(0.001)
 
         thread = threading.Thread(target=send)
-        begun = time.thread_time_ns()
+        started_ns = time.thread_time_ns()
         thread.start()
         try:
             await asyncio.wait_for(done.wait(), 5 + count / 100)
         except TimeoutError:
-            raise ExperimentError(f"of {count} notes on loopback only {came} came") from None
+            raise ExperimentError(f"only {received} of {count} peer messages arrived on loopback") from None
         finally:
             thread.join()
-        cost = (time.thread_time_ns() - begun) / 1000
-        carrier.close()
+        cost = (time.thread_time_ns() - started_ns) / 1000
+        transport.close()
         return cost
 
-    return asyncio.run(received())
+    return asyncio.run(measure())
 
 
 def server_connection_bytes(count: int) -> float:
-    """What the node holds for connections at rest to a server (tracemalloc: no buffers of the kernel)."""
+    """The memory of the node for idle connections to a server (tracemalloc: without kernel buffers).
 
-    async def held() -> float:
-        with socket.socket() as end:
-            # They are never accepted: the other end's side of them is no part of this.
-            end.bind(("127.0.0.1", 0))
-            end.listen(2 * count)
+    Raises ExperimentError if the node does not keep all of them.
+    """
+
+    async def measure() -> float:
+        with socket.socket() as listener:
+            # The connections are never accepted, so that the memory of the server's side is not counted.
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(2 * count)
             servers = _servers()
-            servers.learn([Listed(_entry(0), f"127.0.0.1:{end.getsockname()[1]}")])
+            servers.learn([Listed(_entry(0), f"127.0.0.1:{listener.getsockname()[1]}")])
             tracemalloc.start()
             try:
                 before = tracemalloc.get_traced_memory()[0]
-                made = [await servers._connect(servers.targets["server-0"]) for _ in range(count)]
-                for connection in made:
+                connections = [await servers._connect(servers.targets["server-0"]) for _ in range(count)]
+                for connection in connections:
                     connection.rest()
-                del made, connection
+                del connections, connection
                 if servers.held != count:
-                    raise ExperimentError(f"of {count} connections {servers.held} are held")
+                    raise ExperimentError(f"the node keeps {servers.held} of {count} idle connections")
                 return float(tracemalloc.get_traced_memory()[0] - before)
             finally:
                 tracemalloc.stop()
                 await servers.close()
 
-    return asyncio.run(held())
+    return asyncio.run(measure())
 
 
-# On node processes of their own.
+# Measurements on node processes.
 
 
 @dataclass(frozen=True, slots=True)
-class _Node:
-    """A node process: microseconds of processor until ready and in an idle second, megabytes resident."""
+class _NodeCosts:
+    """The costs of a node process: processor time until ready and per idle second; resident memory in MB."""
 
     start_us: float
     idle_us: float
     megabytes: float
-    # With connections of callers at rest beside, each having had one answer.
-    megabytes_held: float
+    # Resident memory with idle connections of callers, each of which has had one answer.
+    megabytes_with_callers: float
     descriptors: int
 
 
 def _used_us(pid: int) -> float:
-    """Processor time of a process's main thread, in microseconds; finer than ticks."""
+    """The processor time of a process's main thread, in microseconds; the precision is finer than ticks."""
     return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1000
 
 
 @cache
-def _node(servers: int, callers: int) -> _Node:
-    """Start a node that knows so many servers, leave it alone, then open connections of callers to it."""
+def _node_costs(servers: int, callers: int) -> _NodeCosts:
+    """Start a node with this many servers, leave it idle, then open this many caller connections to it."""
 
-    async def played() -> _Node:
+    async def measure() -> _NodeCosts:
         tier = TierSpec(servers=servers)
-        tracks = [TrackSpec(name="read")]
-        experiment = Experiment(name="slopes", world=World(tiers=[tier]), load=Load(tracks=tracks))
+        request_classes = [TrackSpec(name="read")]
+        experiment = Experiment(name="slopes", world=World(tiers=[tier]), load=Load(tracks=request_classes))
         listing = Listing(0, Book(), 0)
         for number in range(servers):
             listing.add(ListedServer(f"server-{number}", "a", number, {"a": 10_000 + number}))
-        door = await listing.open(0, "a")
-        with socket.socket() as found, tempfile.TemporaryDirectory() as folder:
-            found.bind(("127.0.0.1", 0))
-            port = found.getsockname()[1]
-            found.close()
+        list_port = await listing.open(0, "a")
+        with socket.socket() as probe, tempfile.TemporaryDirectory() as folder:
+            probe.bind(("127.0.0.1", 0))
+            port = probe.getsockname()[1]
+            probe.close()
             program = program_of(Variant(name="slopes"), Path(folder))
             node = NodeProcess("node", 0, 0, "a", port, Path(folder), program)
-            node.configure(experiment, Variant(name="slopes"), listing, door, NODES, NODES // 3, 1)
-            ends: list[socket.socket] = []
+            node.configure(experiment, Variant(name="slopes"), listing, list_port, NODES, NODES // 3, 1)
+            connections: list[socket.socket] = []
             try:
                 await node.start()
                 await node.until_ready()
                 assert node.process is not None
                 pid = node.process.pid
-                started = _used_us(pid)
+                start_us = _used_us(pid)
                 await asyncio.sleep(SETTLE)
-                used = _used_us(pid)
+                settled_us = _used_us(pid)
                 await asyncio.sleep(IDLE_FOR)
-                idle = (_used_us(pid) - used) / IDLE_FOR
+                idle_us = (_used_us(pid) - settled_us) / IDLE_FOR
                 megabytes = process_figures(pid)[1]
                 loop = asyncio.get_running_loop()
                 for _ in range(callers):
-                    end = socket.socket()
-                    ends.append(end)
-                    end.setblocking(False)
-                    await loop.sock_connect(end, ("127.0.0.1", port))
-                    await loop.sock_sendall(end, b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-                    await loop.sock_recv(end, 4096)
-                held = process_figures(pid)[1]
-                return _Node(started, idle, megabytes, held, len(os.listdir(f"/proc/{pid}/fd")))
+                    connection = socket.socket()
+                    connections.append(connection)
+                    connection.setblocking(False)
+                    await loop.sock_connect(connection, ("127.0.0.1", port))
+                    await loop.sock_sendall(connection, b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+                    await loop.sock_recv(connection, 4096)
+                with_callers = process_figures(pid)[1]
+                return _NodeCosts(
+                    start_us, idle_us, megabytes, with_callers, len(os.listdir(f"/proc/{pid}/fd"))
+                )
             except TimeoutError:
-                raise ExperimentError(f"a node that knows {servers} servers was not ready in time") from None
+                raise ExperimentError(f"a node with {servers} servers did not become ready in time") from None
             finally:
-                for end in ends:
-                    end.close()
+                for connection in connections:
+                    connection.close()
                 await node.end()
                 await listing.close()
 
-    return asyncio.run(played())
+    return asyncio.run(measure())
 
 
 def node_start(count: int) -> float:
-    """A node process's processor time until it is ready."""
-    return _node(count, 0).start_us
+    """The processor time of a node process until it is ready."""
+    return _node_costs(count, 0).start_us
 
 
 def node_idle(count: int) -> float:
-    """Its processor time in a second with nothing to do but to be told that nothing has changed."""
-    return _node(count, 0).idle_us
+    """The processor time of a node process in a second without requests and without changes of its list."""
+    return _node_costs(count, 0).idle_us
 
 
 def node_memory(count: int) -> float:
-    """Its resident memory then, in megabytes."""
-    return _node(count, 0).megabytes
+    """The resident memory of an idle node process, in megabytes."""
+    return _node_costs(count, 0).megabytes
 
 
 def caller_memory(count: int) -> float:
-    """What connections of callers at rest add to its resident memory, in bytes."""
-    node = _node(31, count)
-    return (node.megabytes_held - node.megabytes) * 2**20
+    """The resident memory that idle connections of callers add to a node process, in bytes."""
+    costs = _node_costs(31, count)
+    return (costs.megabytes_with_callers - costs.megabytes) * 2**20
 
 
 def caller_descriptors(count: int) -> float:
-    return float(_node(31, count).descriptors)
+    """The open descriptors of a node process with this many connections of callers."""
+    return float(_node_costs(31, count).descriptors)
 
 
 CALLS = """
@@ -605,82 +622,87 @@
 
 @cache
 def _calls(rate: int) -> tuple[float, float, float]:
-    """Microseconds of the node a second, and microseconds added to p50 and p99, at so many calls a second."""
+    """At this many calls per second: the node's processor time in a second, and its addition to p50 and p99.
+
+    All are microseconds. Raises ExperimentError if the experiment is interrupted.
+    """
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "calls.toml"
         file.write_text(CALLS, encoding="utf-8")
         played = Play(file, Path(folder) / "out", overrides={"load.rate": rate}, say=_nothing)
         outcome, _ = on_clock(played.play())
     if outcome.interrupted:
-        raise ExperimentError("the calls were interrupted")
+        raise ExperimentError(f"the experiment at {rate} calls per second was interrupted")
 
-    def middle(variant: str, figure: str) -> float:
+    def median_of(variant: str, figure: str) -> float:
         return float(median(s.figures[figure] for s in outcome.summaries if s.variant == variant))
 
-    used = middle("node", "node_cpu_us_per_inquiry") * middle("node", "satisfied_per_s")
-    added = [(middle("node", name) - middle("direct", name)) * 1000 for name in ("p50_ms", "p99_ms")]
-    return used, added[0], added[1]
+    used_us = median_of("node", "node_cpu_us_per_inquiry") * median_of("node", "satisfied_per_s")
+    added_us = [(median_of("node", name) - median_of("direct", name)) * 1000 for name in ("p50_ms", "p99_ms")]
+    return used_us, added_us[0], added_us[1]
 
 
 def call_cpu(rate: int) -> float:
-    """A node process's processor time in a second at so many calls a second, servers that answer in 5 ms."""
+    """The processor time of a node process in a second, at this many calls to servers that answer in 5 ms."""
     return _calls(rate)[0]
 
 
 def call_added_p50(rate: int) -> float:
-    """What the node adds to half of the calls, against the same callers straight to the servers."""
+    """The latency that the node adds to the median call, compared with direct calls to the servers."""
     return _calls(rate)[1]
 
 
 def call_added_p99(rate: int) -> float:
+    """The latency that the node adds at the 99th percentile of calls."""
     return _calls(rate)[2]
 
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """One thing measured at several sizes."""
+    """A cost to be measured at several sizes, in `unit` per `per`."""
 
     per: str
     unit: str
     sizes: tuple[int, ...]
-    at: Callable[[int], float]
-    # Whether it is over in a moment at small sizes, in this process alone.
-    pure: bool = True
+    # Measures the cost at a size.
+    cost_at: Callable[[int], float]
+    # Whether it is measured in this process alone, which takes a moment at small sizes.
+    in_process: bool = True
 
 
 MEASURES: dict[str, Measure] = {
-    "whole-list": Measure("listed server", "us", SERVERS, whole_list),
-    "change": Measure("listed server", "us", SERVERS, change),
-    "change-alone": Measure("listed server", "us", SERVERS, change_alone),
-    "sweep": Measure("listed server", "us", SERVERS, sweep),
-    "entry-bytes": Measure("listed server", "B", SERVERS, entry_bytes),
-    "learn": Measure("listed server", "us", SERVERS, learn),
-    "learn-change": Measure("listed server", "us", SERVERS, learn_change),
-    "close-idle": Measure("listed server", "us", SERVERS, close_idle),
-    "parse": Measure("listed server", "us", SERVERS, parse),
-    "list-bytes": Measure("listed server", "B", SERVERS, list_bytes),
+    "whole-list": Measure("listed server", "us", SERVER_COUNTS, full_list),
+    "change": Measure("listed server", "us", SERVER_COUNTS, change),
+    "change-alone": Measure("listed server", "us", SERVER_COUNTS, change_alone),
+    "sweep": Measure("listed server", "us", SERVER_COUNTS, sweep),
+    "entry-bytes": Measure("listed server", "B", SERVER_COUNTS, entry_bytes),
+    "learn": Measure("listed server", "us", SERVER_COUNTS, learn),
+    "learn-change": Measure("listed server", "us", SERVER_COUNTS, learn_change),
+    "close-idle": Measure("listed server", "us", SERVER_COUNTS, close_idle),
+    "parse": Measure("listed server", "us", SERVER_COUNTS, parse),
+    "list-bytes": Measure("listed server", "B", SERVER_COUNTS, list_bytes),
     "parse-changes": Measure("change", "us", COUNTS, parse_changes),
-    "settings-by-servers": Measure("listed server", "us", SERVERS, settings_by_servers),
-    "settings-by-tracks": Measure("track", "us", TRACKS, settings_by_tracks),
+    "settings-by-servers": Measure("listed server", "us", SERVER_COUNTS, settings_by_servers),
+    "settings-by-tracks": Measure("track", "us", REQUEST_CLASS_COUNTS, settings_by_request_classes),
     "follower-cpu": Measure("follower", "us", COUNTS, follower_cpu),
     "follower-bytes": Measure("follower", "B", COUNTS, follower_bytes),
-    "note-send": Measure("note", "us", COUNTS, note_send),
-    "note-receive": Measure("note", "us", COUNTS, note_receive),
+    "note-send": Measure("note", "us", COUNTS, peer_message_send),
+    "note-receive": Measure("note", "us", COUNTS, peer_message_receive),
     "server-connection-bytes": Measure("connection", "B", COUNTS, server_connection_bytes),
-    "node-start": Measure("listed server", "us", SERVERS, node_start, pure=False),
-    "node-idle": Measure("listed server", "us/s", SERVERS, node_idle, pure=False),
-    "node-memory": Measure("listed server", "MB", SERVERS, node_memory, pure=False),
-    "caller-memory": Measure("connection", "B", COUNTS, caller_memory, pure=False),
-    "caller-descriptors": Measure("connection", "descriptors", COUNTS, caller_descriptors, pure=False),
-    "call-cpu": Measure("call a second", "us/s", RATES, call_cpu, pure=False),
-    "call-added-p50": Measure("call a second", "us", RATES, call_added_p50, pure=False),
-    "call-added-p99": Measure("call a second", "us", RATES, call_added_p99, pure=False),
+    "node-start": Measure("listed server", "us", SERVER_COUNTS, node_start, in_process=False),
+    "node-idle": Measure("listed server", "us/s", SERVER_COUNTS, node_idle, in_process=False),
+    "node-memory": Measure("listed server", "MB", SERVER_COUNTS, node_memory, in_process=False),
+    "caller-memory": Measure("connection", "B", COUNTS, caller_memory, in_process=False),
+    "caller-descriptors": Measure("connection", "descriptors", COUNTS, caller_descriptors, in_process=False),
+    "call-cpu": Measure("call a second", "us/s", RATES, call_cpu, in_process=False),
+    "call-added-p50": Measure("call a second", "us", RATES, call_added_p50, in_process=False),
+    "call-added-p99": Measure("call a second", "us", RATES, call_added_p99, in_process=False),
 }
 
 
 @dataclass(slots=True)
 class Slope:
-    """What came of one measure."""
+    """The measured points of a cost, and the line fitted to them."""
 
     name: str
     per: str
@@ -688,62 +710,72 @@
     points: list[tuple[float, float]]
     fit: Fit
 
-    def told(self) -> str:
+    def as_text(self) -> str:
+        """The slope as one line of text."""
         sizes = ", ".join(f"{size:g}" for size, _ in self.points)
-        measures = ", ".join(f"{measure:.4g}" for _, measure in self.points)
+        costs = ", ".join(f"{cost:.4g}" for _, cost in self.points)
         line = self.fit
         return (
-            f"{self.name:20} {line.slope:10.4g} {self.unit} a {self.per} + {line.intercept:.4g} "
-            f"(residual {line.residual:.1%}); at {sizes}: {measures}"
+            f"{self.name:20} {line.slope:10.4g} {self.unit} per {self.per} + {line.intercept:.4g} "
+            f"(residual {line.residual:.1%}); at {sizes}: {costs}"
         )
 
     def as_json(self) -> dict[str, Any]:
+        """The slope as a JSON object."""
         line = self.fit
         return {
             "name": self.name,
             "per": self.per,
             "unit": self.unit,
             "sizes": [size for size, _ in self.points],
-            "measures": [measure for _, measure in self.points],
+            "measures": [cost for _, cost in self.points],
             "slope": line.slope,
             "intercept": line.intercept,
             "residual": line.residual,
         }
 
 
-def chosen(only: list[str], quick: bool) -> dict[str, Measure]:
-    """The measures asked for; raises ExperimentError for a name that is none."""
+def select_measures(only: list[str], quick: bool) -> dict[str, Measure]:
+    """The measures that these options select; raises ExperimentError for an unknown name."""
     for name in only:
         if name not in MEASURES:
             raise ExperimentError(f"--only: {name!r} is none of {', '.join(MEASURES)}")
-    found = {name: measure for name, measure in MEASURES.items() if name in only or not only}
+    selected = {name: measure for name, measure in MEASURES.items() if name in only or not only}
     if quick:
-        found = {name: replace(one, sizes=QUICK) for name, one in found.items() if one.pure or name in only}
-    return found
+        selected = {
+            name: replace(measure, sizes=QUICK)
+            for name, measure in selected.items()
+            if measure.in_process or name in only
+        }
+    return selected
 
 
-def slopes(measures: dict[str, Measure], say: Callable[[str], None]) -> list[Slope]:
-    """Each of these, one after the other."""
-    found = []
+def measure_slopes(measures: dict[str, Measure], say: Callable[[str], None]) -> list[Slope]:
+    """Take these measures, one after another, and report each slope."""
+    slopes = []
     for name, measure in measures.items():
-        with _uncollected():
-            points = [(float(size), measure.at(size)) for size in measure.sizes]
-        found.append(Slope(name, measure.per, measure.unit, points, fit(points)))
-        say(found[-1].told())
-    return found
+        with _without_collector():
+            points = [(float(size), measure.cost_at(size)) for size in measure.sizes]
+        slopes.append(Slope(name, measure.per, measure.unit, points, fit(points)))
+        say(slopes[-1].as_text())
+    return slopes
 
 
 def play(only: list[str], quick: bool, out: Path | None, say: Callable[[str], None] = print) -> int:
-    """Measure, tell, and write down; raises ExperimentError or OSError."""
-    measures = chosen(only, quick)
+    """Measure the selected slopes, report them, and write them to a JSON file; returns the exit status.
+
+    Raises ExperimentError for an unknown measure or a failed measurement, and OSError if the file can't be
+    written.
+    """
+    measures = select_measures(only, quick)
     if out is not None:
-        # What can't be written is told before anything is measured.
+        # A file that can't be written fails here, before the long measurements.
         out.touch()
-    found = slopes(measures, say)
+    slopes = measure_slopes(measures, say)
     if out is not None:
-        told = {"python": sys.version.split()[0], "cores": os.cpu_count(), "quick": quick}
+        machine = {"python": sys.version.split()[0], "cores": os.cpu_count(), "quick": quick}
         out.write_text(
-            json.dumps({**told, "slopes": [slope.as_json() for slope in found]}, indent=1) + "\n",
+            json.dumps({**machine, "slopes": [slope.as_json() for slope in slopes]}, indent=1) + "\n",
             encoding="utf-8",
         )
     return 0
