--- a/coraldeal/rig/crowd/__init__.py
+++ b/coraldeal/rig/crowd/__init__.py
@@ -1,1 +1,1 @@
-"""Many nodes at one discovery that works through calls in turn: who is told late, and by how many calls."""
+"""Plays many nodes at one discovery that serves calls in turn, and finds which are notified late."""
