--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -743,9 +743,9 @@
     selected = {name: measure for name, measure in MEASURES.items() if name in only or not only}
     if quick:
         selected = {
-            name: replace(measure, sizes=QUICK)
-            for name, measure in selected.items()
-            if measure.in_process or name in only
+            name: replace(chosen, sizes=QUICK)
+            for name, chosen in selected.items()
+            if chosen.in_process or name in only
         }
     return selected
 
