--- a/coraldeal/rig/soak/__init__.py
+++ b/coraldeal/rig/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments drawn from a seed: the rig's troubles, system calls that fail and a stepped clock at once."""
+"""The soak: seeded experiments that combine injected faults, failing system calls and clock steps."""
--- a/coraldeal/rig/soak/planted.py
+++ b/coraldeal/rig/soak/planted.py
@@ -1,4 +1,4 @@
-"""The node program with a fault that the soak is to find: `python -m coraldeal.rig.soak.planted FAULT`."""
+"""The node program with a fault that the soak must find: `python -m coraldeal.rig.soak.planted FAULT`."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from coraldeal.net import node as node_module
 
 
-def rests_after_accept() -> None:
-    """An accept that fails rests the listener for a second."""
+def pause_after_accept_failure() -> None:
+    """Plant the fault that the node pauses its listener for a second when an accept fails."""
     vars(accepting)["PAUSE_LEAST"] = vars(accepting)["PAUSE_MOST"] = 1.0
 
 
 class _WallClock:
-    """The time module with the wall clock in place of the steady one."""
+    """The time module with the wall clock in place of the monotonic clock."""
 
     monotonic_ns = staticmethod(time.time_ns)
 
@@ -30,72 +30,73 @@
         return getattr(time, name)
 
 
-def takes_wall_clock_for_time() -> None:
-    """The node's one clock is the wall's."""
+def use_wall_clock() -> None:
+    """Plant the fault that the node measures time by the wall clock."""
     vars(host)["time"] = _WallClock()
 
 
-def loses_answers_at_sigterm() -> None:
-    """Told to end, it ends, whatever it has taken."""
+def end_at_once_at_sigterm() -> None:
+    """Plant the fault that the node ends at once at SIGTERM, whatever requests it has in progress."""
     run = node_module.Node.run
 
-    async def ends_at_once(self: node_module.Node) -> None:
+    async def run_and_end_at_once(self: node_module.Node) -> None:
         running = asyncio.ensure_future(run(self))
         while self.phase is node_module.Phase.STARTING and not running.done():
             await asyncio.sleep(0.01)
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, os._exit, 0)
         await running
 
-    vars(node_module)["Node"].run = ends_at_once
+    vars(node_module)["Node"].run = run_and_end_at_once
 
 
-def sends_after_departure() -> None:
-    """A client that has closed its connection is served on."""
+def serve_departed_callers() -> None:
+    """Plant the fault that the node continues with a request whose caller has closed the connection."""
     vars(callers)["has_left"] = lambda *_: False
     live = inquiry.Inquiries.live
 
-    async def to_its_end(self: inquiry.Inquiries, *told: Any) -> Any:
-        return await asyncio.shield(asyncio.ensure_future(live(self, *told)))
+    async def run_to_the_end(self: inquiry.Inquiries, *arguments: Any) -> Any:
+        return await asyncio.shield(asyncio.ensure_future(live(self, *arguments)))
 
-    vars(inquiry)["Inquiries"].live = to_its_end
+    vars(inquiry)["Inquiries"].live = run_to_the_end
 
 
-def starves_discovery() -> None:
-    """Further calls are made five a second, however many wait."""
+def flood_discovery() -> None:
+    """Plant the fault that the node makes five further list calls a second, however many are pending."""
 
-    def at_once(self: list_calls.CallPlan) -> float | None:
+    def further_call_at_once(self: list_calls.CallPlan) -> float | None:
         return self.last_begun + 0.2 if self.out else None
 
-    vars(list_calls)["CallPlan"].further_at = at_once
+    vars(list_calls)["CallPlan"].further_at = further_call_at_once
     vars(list_calls)["CallPlan"].make_room = lambda *_: None
 
 
-def hears_drains_late() -> None:
-    """Each list is acted on a second after it came."""
+def apply_lists_late() -> None:
+    """Plant the fault that the node applies each list a second after it was received."""
     take_list = node_module.Node.take_list
 
-    def late(self: node_module.Node, *told: Any) -> None:
+    def take_list_late(self: node_module.Node, *arguments: Any) -> None:
         if not self.has_list:
-            take_list(self, *told)
+            take_list(self, *arguments)
             return
-        asyncio.get_running_loop().call_later(1.0, lambda: take_list(self, *told))
+        asyncio.get_running_loop().call_later(1.0, lambda: take_list(self, *arguments))
 
-    vars(node_module)["Node"].take_list = late
+    vars(node_module)["Node"].take_list = take_list_late
 
 
 FAULTS: dict[str, Callable[[], None]] = {
-    "rests-after-accept": rests_after_accept,
-    "takes-wall-clock-for-time": takes_wall_clock_for_time,
-    "loses-answers-at-sigterm": loses_answers_at_sigterm,
-    "sends-after-departure": sends_after_departure,
-    "starves-discovery": starves_discovery,
-    "hears-drains-late": hears_drains_late,
+    "rests-after-accept": pause_after_accept_failure,
+    "takes-wall-clock-for-time": use_wall_clock,
+    "loses-answers-at-sigterm": end_at_once_at_sigterm,
+    "sends-after-departure": serve_departed_callers,
+    "starves-discovery": flood_discovery,
+    "hears-drains-late": apply_lists_late,
 }
 
 
 def main() -> int:
+    """Plant the fault named by the first argument, and run `coraldeal serve` with the other arguments."""
     if len(sys.argv) < 2 or sys.argv[1] not in FAULTS:
-        print(f"coraldeal.rig.soak.planted: the faults are {', '.join(FAULTS)}", file=sys.stderr)
+        print(f"coraldeal.rig.soak.planted: FAULT must be one of {', '.join(FAULTS)}", file=sys.stderr)
         return 2
     FAULTS[sys.argv[1]]()
     return command.main(["serve", *sys.argv[2:]])
--- a/coraldeal/rig/soak/play.py
+++ b/coraldeal/rig/soak/play.py
@@ -1,4 +1,4 @@
-"""Plays seeds one after another, or some side by side, and judges each by the rig's books."""
+"""Plays seeds, one after another or several in parallel, and checks each by the rig's records."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
 from coraldeal.rig.soak.draw import Drawn, draw
 from coraldeal.rig.soak.shim import ShimError, build
 
-# Each so-manieth seed is a crowd at discovery, the others a world with troubles.
+# Every fourth seed plays a crowd at discovery, the others a world with injected faults.
 CROWD_EVERY = 4
-# Nodes are small here: a process that holds more has a leak.
-MEMORY_MOST_MB = 96.0
-# A node that rejects all that it gets of a track, so many requests at least, for so long is out of use.
-REJECTS, REJECTS_FOR_US = 15, 4_000_000
+# Nodes are small in a soak: a process that uses more memory has a leak.
+MAX_MEMORY_MB = 96.0
+# A node is out of use when it rejects all requests of a class, at least this many, for this long.
+MIN_REJECTIONS, MIN_REJECTION_SPAN_US = 15, 4_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What a seed showed. `broken`: a line for each kind of break; `not_run`: what could not be forced."""
+    """The result of a seed: a line for each kind of violation, and for each fault that did not occur."""
 
     seed: int
     about: str
-    broken: list[str]
+    violations: list[str]
     not_run: list[str]
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Seeds `first` to `first + count - 1`, so many side by side, with a planted fault or none."""
+    """Seeds `first` to `first + count - 1`, `side_by_side` in parallel, with a planted fault or none."""
 
     first: int
     count: int
@@ -49,142 +49,147 @@
     folder: Path | None = None
 
 
-def command_of(planted: str) -> list[str]:
-    """The node program, or the one with this fault."""
+def node_command(planted: str) -> list[str]:
+    """The command line of the node program, with this planted fault or none."""
     if planted:
         return [sys.executable, "-m", "coraldeal.rig.soak.planted", planted]
     return [sys.executable, "-m", "coraldeal", "serve"]
 
 
-def command_for(seed: int, planted: str) -> str:
-    """What plays this seed again."""
+def replay_command(seed: int, planted: str) -> str:
+    """The command line that plays this seed again."""
     plant = f" --plant {planted}" if planted else ""
     return f"coraldeal rig soak --seeds 1 --first {seed}{plant}"
 
 
 async def soak(options: Options, say: Callable[[str], None]) -> list[Verdict]:
-    """All seeds, in their order; a verdict each."""
-    lanes = asyncio.Semaphore(options.side_by_side)
+    """Play all seeds, report each, and return their verdicts in order."""
+    parallel = asyncio.Semaphore(options.side_by_side)
     with tempfile.TemporaryDirectory() as scratch:
         folder = options.folder or Path(scratch)
         folder.mkdir(parents=True, exist_ok=True)
-        library, why = _shim(folder)
+        library, reason = _build_shim(folder)
 
-        async def one(seed: int) -> Verdict:
-            async with lanes:
+        async def play_seed(seed: int) -> Verdict:
+            async with parallel:
                 try:
-                    verdict = await _play(seed, options.planted, folder / f"seed-{seed}", library, why)
+                    verdict = await _play(seed, options.planted, folder / f"seed-{seed}", library, reason)
                 except (ExperimentError, TimeoutError) as error:
                     verdict = Verdict(
-                        seed, "could not begin", [], [str(error) or "a part was not up in time"]
+                        seed, "did not start", [], [str(error) or "a process was not ready in time"]
                     )
-            say(told(verdict, options.planted))
+            say(format_verdict(verdict, options.planted))
             return verdict
 
         seeds = range(options.first, options.first + options.count)
-        return list(await asyncio.gather(*(one(seed) for seed in seeds)))
+        return list(await asyncio.gather(*(play_seed(seed) for seed in seeds)))
 
 
-def _shim(folder: Path) -> tuple[Path | None, str]:
+def _build_shim(folder: Path) -> tuple[Path | None, str]:
+    """Build the shim; returns its path, or None and the reason why it can't be built."""
     try:
         return build(folder), ""
     except ShimError as error:
         return None, str(error)
 
 
-def told(verdict: Verdict, planted: str) -> str:
-    """A verdict for a person; a failing seed tells how it is played again."""
-    state = "FAILED" if verdict.broken else "passed"
-    lines = [f"seed {verdict.seed} {state}: {verdict.about}"]
-    lines += [f"  broken: {text}" for text in verdict.broken]
+def format_verdict(verdict: Verdict, planted: str) -> str:
+    """A verdict as lines of text; a failed seed includes the command that plays it again."""
+    result = "FAILED" if verdict.violations else "passed"
+    lines = [f"seed {verdict.seed} {result}: {verdict.about}"]
+    lines += [f"  violation: {text}" for text in verdict.violations]
     lines += [f"  not run: {text}" for text in verdict.not_run]
-    if verdict.broken:
-        lines.append(f"  again: {command_for(verdict.seed, planted)}")
+    if verdict.violations:
+        lines.append(f"  play again: {replay_command(verdict.seed, planted)}")
     return "\n".join(lines)
 
 
-async def _play(seed: int, planted: str, folder: Path, library: Path | None, why: str) -> Verdict:
-    program = Program(command_of(planted), ROOT, {"PYTHONPATH": str(ROOT)})
+async def _play(seed: int, planted: str, folder: Path, library: Path | None, reason: str) -> Verdict:
+    program = Program(node_command(planted), ROOT, {"PYTHONPATH": str(ROOT)})
     if seed % CROWD_EVERY == 0:
         options = draw_crowd(seed)
         outcome = await play_crowd(options, program, lambda _: None, folder)
-        late = [f"drain: {outcome.broken} requests after the grace"] if outcome.broken else []
-        return Verdict(seed, f"crowd, {outcome.text().splitlines()[0]}", late, [])
+        violations = [f"drain: {outcome.violations} requests after the grace"] if outcome.violations else []
+        return Verdict(seed, f"crowd, {outcome.text().splitlines()[0]}", violations, [])
     drawn = draw(seed)
     log = folder / "faults.log"
     not_run: list[str] = []
     if drawn.faults is not None and library is not None:
         program.env.update(drawn.faults.environment(library, log))
     elif drawn.faults is not None:
-        not_run.append(f"system calls and clock: {why}")
+        not_run.append(f"system calls and clock: {reason}")
     run = Run(drawn.experiment, Variant(name="soak"), seed, folder, program=program)
     played = await run.play()
     if drawn.faults is not None and library is not None:
-        not_run += _not_forced(drawn, log)
-    judged = Judge(played.experiment, played.book, played.marks, played.start_us)
-    broken = broken_by(played, judged)
-    if broken:
-        _keep(played, judged, folder)
-    late_ms = max((row.late_us // 1000 for row in played.book.late), default=0)
-    about = f"{_about(drawn)}; the rig itself was up to {late_ms} ms late"
-    return Verdict(seed, about, broken, not_run)
-
-
-def _keep(played: Played, judged: Judge, folder: Path) -> None:
-    """What a failing seed is traced by: its books, and each violation with the rows of its request."""
+        not_run += _faults_not_forced(drawn, log)
+    judge = Judge(played.experiment, played.book, played.marks, played.start_us)
+    violations = find_violations(played, judge)
+    if violations:
+        _write_trace(played, judge, folder)
+    late_ms = max((record.late_us // 1000 for record in played.book.late), default=0)
+    about = f"{_describe(drawn)}; the rig itself was up to {late_ms} ms late"
+    return Verdict(seed, about, violations, not_run)
+
+
+def _write_trace(played: Played, judge: Judge, folder: Path) -> None:
+    """Write the records of a failed seed, and its violations with the records of their requests."""
     lines = [
         line
-        for violation in judged.broken
+        for violation in judge.broken
         for line in (f"{violation.rule}: {violation.what}", *violation.trace)
     ]
     (folder / "violations.txt").write_text("\n".join(lines) + "\n", encoding="utf-8")
     played.book.write(folder / "books.msgpack")
 
 
-def _not_forced(drawn: Drawn, log: Path) -> list[str]:
-    """Faults that were drawn and did not come up."""
+def _faults_not_forced(drawn: Drawn, log: Path) -> list[str]:
+    """The drawn faults of system calls that did not occur."""
     assert drawn.faults is not None
     forced = log.read_text(encoding="ascii").split() if log.exists() else []
-    return [f"system call {kind}: none was due" for kind in drawn.faults.calls if kind not in forced]
+    return [
+        f"system call {kind}: too few calls to fail one" for kind in drawn.faults.calls if kind not in forced
+    ]
 
 
-def _about(drawn: Drawn) -> str:
-    """The troubles of a seed in one line."""
-    troubles = dict.fromkeys(event.do for event in drawn.experiment.timeline)
-    words: list[str] = [drawn.experiment.world.list_mode, *troubles]
+def _describe(drawn: Drawn) -> str:
+    """The faults of a seed in one line."""
+    faults = dict.fromkeys(event.do for event in drawn.experiment.timeline)
+    words: list[str] = [drawn.experiment.world.list_mode, *faults]
     if drawn.faults is not None:
-        words += [f"{kind} 1/{rate}" for kind, rate in drawn.faults.calls.items()]
-        words += [f"clock {off:+d} s" for _, off in drawn.faults.clock]
+        words += [f"{kind} 1/{interval}" for kind, interval in drawn.faults.calls.items()]
+        words += [f"clock {offset:+d} s" for _, offset in drawn.faults.clock]
     return ", ".join(words)
 
 
-def broken_by(played: Played, judged: Judge) -> list[str]:
-    """What a run broke: rules, by their judge, crashes, memory, nodes out of use."""
-    first = {violation.rule: violation for violation in reversed(judged.judge())}
-    broken = [f"{rule}: {judged.counts[rule]}, first {first[rule].what}" for rule in first]
+def find_violations(played: Played, judge: Judge) -> list[str]:
+    """The violations of a run: broken rules, crashes, too much memory, and nodes out of use."""
+    first = {violation.rule: violation for violation in reversed(judge.judge())}
+    violations = [f"{rule}: {judge.counts[rule]}, first {first[rule].what}" for rule in first]
     for name, figures in played.nodes.items():
         if figures.crashes:
-            broken.append(f"crash: {name} ended {figures.crashes} times unasked")
-        if figures.rss_mb and max(figures.rss_mb) > MEMORY_MOST_MB:
-            broken.append(f"memory: {name} held {max(figures.rss_mb):.0f} MB")
-    return broken + _out_of_use(played)
+            violations.append(f"crash: {name} ended {figures.crashes} times without an order")
+        if figures.rss_mb and max(figures.rss_mb) > MAX_MEMORY_MB:
+            violations.append(f"memory: {name} held {max(figures.rss_mb):.0f} MB")
+    return violations + _nodes_out_of_use(played)
 
 
-def _out_of_use(played: Played) -> list[str]:
-    """Nodes that served nothing of all they got of a track for a while."""
-    broken = []
+def _nodes_out_of_use(played: Played) -> list[str]:
+    """Nodes that for a while served none of the requests of a class that they got."""
+    violations = []
     ended: dict[tuple[int, str], list[TryRow]] = defaultdict(list)
-    for row in sorted(played.book.tries, key=lambda row: row.end_us):
-        if row.status and row.node >= 0:
-            ended[row.node, row.track].append(row)
-    for (node, track), rows in ended.items():
+    for record in sorted(played.book.tries, key=lambda record: record.end_us):
+        if record.status and record.node >= 0:
+            ended[record.node, record.track].append(record)
+    for (node, request_class), tries in ended.items():
         since, count = 0, 0
-        for row in rows:
-            if row.status == 200:
+        for record in tries:
+            if record.status == 200:
                 since, count = 0, 0
                 continue
-            since, count = since or row.end_us, count + 1
-            if count >= REJECTS and row.end_us - since > REJECTS_FOR_US:
-                broken.append(f"out of use: node {node} served none of {count} of {track} for 4 s")
+            since, count = since or record.end_us, count + 1
+            if count >= MIN_REJECTIONS and record.end_us - since > MIN_REJECTION_SPAN_US:
+                violations.append(
+                    f"out of use: node {node} served none of {count} of {request_class} for 4 s"
+                )
                 break
-    return broken
+    return violations
--- a/coraldeal/rig/soak/shim.c
+++ b/coraldeal/rig/soak/shim.c
@@ -1,16 +1,17 @@
 /* Loaded into a node process (LD_PRELOAD): fails some of its system calls and steps its wall clock.
 
-   CORALDEAL_FAULTS  "accept=20,socket=30,recv=15,broken=200": of each kind one call in so many.
-   CORALDEAL_CLOCK   "3.0:-390,6.5:3600": so many seconds after the start the wall clock is off by so many.
-
-   accept   ECONNABORTED, EMFILE, ENOBUFS and EINTR by turns
-   socket   ENFILE and ENOBUFS by turns, for TCP over IPv4
-   connect  ENOBUFS and EADDRNOTAVAIL by turns
-   recv     EINTR, and a read of one byte, by turns
-   send     EINTR, and half of what was to be written, by turns
-   broken   a connection that this process made: ETIMEDOUT and EHOSTUNREACH by turns, at a read
-
-   With CORALDEAL_FAULTS_LOG each kind that was forced at least once is written there, a word a line. */
+   CORALDEAL_FAULTS  "accept=20,socket=30,recv=15,broken=200": for each kind, one call in this many fails.
+   CORALDEAL_CLOCK   "3.0:-390,6.5:3600": steps of the wall clock, as seconds after the start and the offset
+                     in seconds from then on.
+
+   accept   fails with ECONNABORTED, EMFILE, ENOBUFS and EINTR in turn
+   socket   fails with ENFILE and ENOBUFS in turn, for TCP over IPv4
+   connect  fails with ENOBUFS and EADDRNOTAVAIL in turn
+   recv     alternately fails with EINTR and reads only one byte
+   send     alternately fails with EINTR and writes only half of the data
+   broken   a read on a connection that this process opened fails with ETIMEDOUT and EHOSTUNREACH in turn
+
+   Each kind that was forced at least once is appended as one line to the file CORALDEAL_FAULTS_LOG, if set. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -23,13 +24,16 @@
 #include <time.h>
 #include <unistd.h>
 
-#define DESCRIPTORS 65536
+/* Connections with higher descriptors get no BROKEN faults. */
+#define MAX_DESCRIPTORS 65536
 
 enum { ACCEPT, SOCKET, CONNECT, RECV, SEND, BROKEN, KINDS };
 static const char *const names[KINDS] = {"accept", "socket", "connect", "recv", "send", "broken"};
-static long every[KINDS], seen[KINDS], forced[KINDS];
-/* Descriptors of connections that this process made. */
-static char made[DESCRIPTORS];
+/* By kind: one call in `interval` fails (0: none does), calls so far, failures so far. */
+static long interval[KINDS], calls[KINDS], forced[KINDS];
+/* Whether the descriptor is a connection that this process opened. */
+static char is_outgoing[MAX_DESCRIPTORS];
+/* The monotonic clock at the start of the process, and the value of CORALDEAL_CLOCK. */
 static struct timespec started;
 static const char *clock_steps;
 
@@ -41,7 +45,7 @@
 static int (*real_close)(int);
 static int (*real_clock)(clockid_t, struct timespec *);
 
-__attribute__((constructor)) static void begin(void) {
+__attribute__((constructor)) static void initialize(void) {
     real_accept4 = dlsym(RTLD_NEXT, "accept4");
     real_socket = dlsym(RTLD_NEXT, "socket");
     real_connect = dlsym(RTLD_NEXT, "connect");
@@ -51,16 +55,17 @@
     real_clock = dlsym(RTLD_NEXT, "clock_gettime");
     clock_steps = getenv("CORALDEAL_CLOCK");
     real_clock(CLOCK_MONOTONIC, &started);
-    const char *told = getenv("CORALDEAL_FAULTS");
-    for (int kind = 0; told && kind < KINDS; kind++) {
+    const char *faults = getenv("CORALDEAL_FAULTS");
+    for (int kind = 0; faults && kind < KINDS; kind++) {
         char key[32];
         snprintf(key, sizeof key, "%s=", names[kind]);
-        const char *at = strstr(told, key);
-        every[kind] = at ? atol(at + strlen(key)) : 0;
+        const char *at = strstr(faults, key);
+        interval[kind] = at ? atol(at + strlen(key)) : 0;
     }
 }
 
-static void write_down(int kind) {
+/* Appends the name of a kind to the log of forced faults. */
+static void log_kind(int kind) {
     const char *path = getenv("CORALDEAL_FAULTS_LOG");
     int file = path ? open(path, O_WRONLY | O_CREAT | O_APPEND, 0644) : -1;
     if (file < 0)
@@ -72,20 +77,21 @@
     real_close(file);
 }
 
-/* 0: this call is left alone; else the how manieth of its kind is forced now. */
-static long due(int kind) {
-    if (!every[kind] || ++seen[kind] % every[kind])
+/* Counts a call. Returns 0 if the call is not to fail, else the number of forced failures of its kind so far,
+   this one included. */
+static long next_fault(int kind) {
+    if (!interval[kind] || ++calls[kind] % interval[kind])
         return 0;
     if (!forced[kind]++)
-        write_down(kind);
+        log_kind(kind);
     return forced[kind];
 }
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     static const int errors[] = {ECONNABORTED, EMFILE, ENOBUFS, EINTR};
-    long turn = due(ACCEPT);
-    if (turn) {
-        errno = errors[turn % 4];
+    long fault = next_fault(ACCEPT);
+    if (fault) {
+        errno = errors[fault % 4];
         return -1;
     }
     return real_accept4(fd, address, length, flags);
@@ -93,9 +99,9 @@
 
 int socket(int family, int type, int protocol) {
     static const int errors[] = {ENFILE, ENOBUFS};
-    long turn = family == AF_INET && (type & 0xf) == SOCK_STREAM ? due(SOCKET) : 0;
-    if (turn) {
-        errno = errors[turn % 2];
+    long fault = family == AF_INET && (type & 0xf) == SOCK_STREAM ? next_fault(SOCKET) : 0;
+    if (fault) {
+        errno = errors[fault % 2];
         return -1;
     }
     return real_socket(family, type, protocol);
@@ -103,13 +109,13 @@
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     static const int errors[] = {ENOBUFS, EADDRNOTAVAIL};
-    long turn = due(CONNECT);
-    if (turn) {
-        errno = errors[turn % 2];
+    long fault = next_fault(CONNECT);
+    if (fault) {
+        errno = errors[fault % 2];
         return -1;
     }
-    if (fd >= 0 && fd < DESCRIPTORS)
-        made[fd] = 1;
+    if (fd >= 0 && fd < MAX_DESCRIPTORS)
+        is_outgoing[fd] = 1;
     return real_connect(fd, address, length);
 }
 
@@ -117,31 +123,31 @@
     static const int errors[] = {ETIMEDOUT, EHOSTUNREACH};
     if (flags & MSG_PEEK)
         return real_recv(fd, buffer, length, flags);
-    long turn = fd >= 0 && fd < DESCRIPTORS && made[fd] ? due(BROKEN) : 0;
-    if (turn) {
-        errno = errors[turn % 2];
+    long fault = fd >= 0 && fd < MAX_DESCRIPTORS && is_outgoing[fd] ? next_fault(BROKEN) : 0;
+    if (fault) {
+        errno = errors[fault % 2];
         return -1;
     }
-    turn = due(RECV);
-    if (turn % 2) {
+    fault = next_fault(RECV);
+    if (fault % 2) {
         errno = EINTR;
         return -1;
     }
-    return real_recv(fd, buffer, turn && length ? 1 : length, flags);
+    return real_recv(fd, buffer, fault && length ? 1 : length, flags);
 }
 
 ssize_t send(int fd, const void *buffer, size_t length, int flags) {
-    long turn = due(SEND);
-    if (turn % 2) {
+    long fault = next_fault(SEND);
+    if (fault % 2) {
         errno = EINTR;
         return -1;
     }
-    return real_send(fd, buffer, turn && length > 1 ? length / 2 : length, flags);
+    return real_send(fd, buffer, fault && length > 1 ? length / 2 : length, flags);
 }
 
 int close(int fd) {
-    if (fd >= 0 && fd < DESCRIPTORS)
-        made[fd] = 0;
+    if (fd >= 0 && fd < MAX_DESCRIPTORS)
+        is_outgoing[fd] = 0;
     return real_close(fd);
 }
 
@@ -149,10 +155,11 @@
     int result = real_clock(clock, now);
     if (result || clock != CLOCK_REALTIME || !clock_steps)
         return result;
-    struct timespec steady;
-    real_clock(CLOCK_MONOTONIC, &steady);
-    double age = (double)(steady.tv_sec - started.tv_sec) + (double)(steady.tv_nsec - started.tv_nsec) / 1e9;
-    long off = 0;
+    struct timespec monotonic;
+    real_clock(CLOCK_MONOTONIC, &monotonic);
+    double age =
+        (double)(monotonic.tv_sec - started.tv_sec) + (double)(monotonic.tv_nsec - started.tv_nsec) / 1e9;
+    long offset = 0;
     for (const char *at = clock_steps; at && *at;) {
         char *end;
         double from = strtod(at, &end);
@@ -160,9 +167,9 @@
             break;
         long seconds = strtol(end + 1, &end, 10);
         if (age >= from)
-            off = seconds;
+            offset = seconds;
         at = *end == ',' ? end + 1 : NULL;
     }
-    now->tv_sec += off;
+    now->tv_sec += offset;
     return result;
 }
--- a/coraldeal/rig/soak/shim.py
+++ b/coraldeal/rig/soak/shim.py
@@ -1,4 +1,4 @@
-"""Builds the shim for system calls where a compiler is there, and words what a node process is to be told."""
+"""Builds the shim that makes system calls fail, and the environment variables that configure it."""
 
 from __future__ import annotations
 
@@ -13,33 +13,36 @@
 
 
 class ShimError(Exception):
-    """The shim can't be built here: says why."""
+    """The shim can't be built on this machine; the message says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class SystemFaults:
-    """What the shim forces in each node process."""
+    """The faults that the shim forces in each node process."""
 
-    # By kind, as shim.c names them: one call in so many fails.
+    # By kind, as shim.c names them: one call in this many fails.
     calls: Mapping[str, int]
-    # Seconds after the process began, and by how many seconds its wall clock is off from then on.
+    # Steps of the wall clock: the seconds after the process started, and the offset from then on in seconds.
     clock: tuple[tuple[float, int], ...] = ()
 
     def environment(self, library: Path, log: Path) -> dict[str, str]:
-        """Variables of a process that loads the shim."""
-        told = {"LD_PRELOAD": str(library), "CORALDEAL_FAULTS_LOG": str(log)}
+        """The environment variables of a process that loads the shim and logs forced faults to `log`."""
+        variables = {"LD_PRELOAD": str(library), "CORALDEAL_FAULTS_LOG": str(log)}
         if self.calls:
-            told["CORALDEAL_FAULTS"] = ",".join(f"{kind}={count}" for kind, count in self.calls.items())
+            variables["CORALDEAL_FAULTS"] = ",".join(f"{kind}={count}" for kind, count in self.calls.items())
         if self.clock:
-            told["CORALDEAL_CLOCK"] = ",".join(f"{at:g}:{off}" for at, off in self.clock)
-        return told
+            variables["CORALDEAL_CLOCK"] = ",".join(f"{at:g}:{offset}" for at, offset in self.clock)
+        return variables
 
 
 def build(folder: Path) -> Path:
-    """The library, built in this folder; raises ShimError where there is no compiler or it fails."""
-    compiler = next((found for name in COMPILERS if (found := shutil.which(name))), None)
+    """Build the library in this folder and return its path.
+
+    Raises ShimError if no compiler is installed or the compiler fails.
+    """
+    compiler = next((path for name in COMPILERS if (path := shutil.which(name))), None)
     if compiler is None:
-        raise ShimError("no C compiler is here")
+        raise ShimError(f"no C compiler is installed (looked for {', '.join(COMPILERS)})")
     library = folder / "shim.so"
     built = subprocess.run(
         [compiler, "-shared", "-fPIC", "-O1", "-Wall", "-o", str(library), str(SOURCE), "-ldl"],
@@ -48,6 +51,6 @@
         check=False,
     )
     if built.returncode:
-        last = built.stderr.strip().splitlines()[-1:] or ["no word of why"]
-        raise ShimError(f"the compiler failed: {last[0]}")
+        last = built.stderr.strip().splitlines()[-1:] or ["no error message"]
+        raise ShimError(f"{compiler} failed: {last[0]}")
     return library
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: what its shim forces, that a seed draws the same again, its judge, two seeds on processes."""
+"""Tests of the soak: the faults of its shim, the drawing of seeds, its checks, and two seeds on processes."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from pathlib import Path
 
 from coraldeal.rig.books import Book, ListRow, TryRow
-from coraldeal.rig.crowd.draw import WHOLE_ROUND
+from coraldeal.rig.crowd.draw import ROUND_SECONDS
 from coraldeal.rig.crowd.draw import draw as draw_crowd
 from coraldeal.rig.experiment import Experiment, Variant, World
 from coraldeal.rig.rules import Judge
 from coraldeal.rig.run import Played
-from coraldeal.rig.soak.draw import LAST_TROUBLE, draw
-from coraldeal.rig.soak.play import Options, Verdict, broken_by, command_for, soak, told
+from coraldeal.rig.soak.draw import LAST_FAULT_AT, draw
+from coraldeal.rig.soak.play import Options, Verdict, find_violations, format_verdict, replay_command, soak
 from coraldeal.rig.soak.shim import ShimError, SystemFaults, build
 from tests.rig.test_rules import MS, SECOND, START, attempt, tried
 
-# What a process under the shim sees: the wall clock before and after a step, and each call's outcome.
+# A program that prints what it sees under the shim: the wall clock before and after a step, and the result of
+# each system call.
 PROBE = """
 import json, socket, time
 near, far = socket.socketpair()
@@ -45,7 +46,7 @@
 
 
 class Shim(unittest.TestCase):
-    def test_calls_fail_and_the_clock_steps_as_told(self) -> None:
+    def test_configured_calls_fail_and_the_clock_steps(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             try:
                 library = build(Path(folder))
@@ -54,58 +55,61 @@
             log = Path(folder) / "log"
             faults = SystemFaults({"accept": 2, "recv": 2, "send": 2}, ((0.5, 3600),))
             environment = {**os.environ, **faults.environment(library, log)}
-            told = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-c", PROBE], env=environment, capture_output=True, check=True, timeout=30
             )
-            seen = json.loads(told.stdout)
+            seen = json.loads(completed.stdout)
             self.assertEqual(set(log.read_text().split()), {"accept", "recv", "send"})
         before, after = seen["clock"]
         self.assertAlmostEqual(after - before, 3600.6, delta=0.5)
         self.assertTrue(any(seen["accept"]) and not all(seen["accept"]), seen)
-        # Python makes calls again that were interrupted; short ones stay short.
+        # Python repeats interrupted calls, so only the short writes and reads show.
         self.assertIn(2, seen["send"])
         self.assertIn(1, seen["recv"])
 
 
-class Drawing(unittest.TestCase):
-    def test_a_seed_draws_the_same_again_and_another_one_something_else(self) -> None:
+class DrawnExperiments(unittest.TestCase):
+    def test_same_seed_draws_the_same_and_another_seed_differs(self) -> None:
         self.assertEqual(draw(7), draw(7))
         self.assertEqual(draw_crowd(7), draw_crowd(7))
         self.assertNotEqual(draw(7).experiment.timeline, draw(8).experiment.timeline)
 
-    def test_what_is_drawn_keeps_to_the_platforms_terms(self) -> None:
+    def test_drawn_experiments_keep_to_the_limits_of_the_platform(self) -> None:
         for seed in range(200):
             events = draw(seed).experiment.timeline
             ended = [event.who[0] for event in events if event.do in ("node_term", "node_kill")]
             self.assertEqual(len(ended), len(set(ended)), "a node ends twice")
             for event in events:
-                self.assertLess(event.at, LAST_TROUBLE + 5.0)
+                self.assertLess(event.at, LAST_FAULT_AT + 5.0)
                 if event.do == "node_term":
                     self.assertGreaterEqual(event.seconds, 1.0 + 0.7)
             options = draw_crowd(seed)
-            self.assertLessEqual(options.nodes * options.limits.work, WHOLE_ROUND[1] + 0.01)
+            self.assertLessEqual(options.nodes * options.limits.work, ROUND_SECONDS[1] + 0.01)
 
 
-class Judging(unittest.TestCase):
+class Checks(unittest.TestCase):
     def counts(self, book: Book, mode: str = "ask") -> dict[str, int]:
+        """The number of violations of each broken rule."""
         experiment = Experiment(name="x", world=World(list_mode=mode))  # type: ignore[arg-type]
-        judged = Judge(experiment, book, [], START)
-        judged.judge()
-        return {rule: count for rule, count in judged.counts.items() if count}
+        judge = Judge(experiment, book, [], START)
+        judge.judge()
+        return {rule: count for rule, count in judge.counts.items() if count}
 
-    def test_an_attempt_that_begins_after_its_client_left(self) -> None:
+    def test_attempt_that_begins_long_after_its_client_left_is_a_violation(self) -> None:
         left = tried(status=0, why="left")
         self.assertEqual(self.counts(Book(tries=[left], attempts=[attempt(at=50 * MS)])), {})
         self.assertEqual(self.counts(Book(tries=[left], attempts=[attempt(at=300 * MS)])), {"lost": 1})
 
-    def test_a_drain_that_was_never_written_counts_six_seconds_later(self) -> None:
+    def test_drain_that_was_never_written_counts_after_six_seconds(self) -> None:
         drains = ListRow(0, START, "has", "front-0", "Terminating")
         for at, expected in ((7 * SECOND, {}), (8 * SECOND, {"drain": 1})):
-            row = attempt(at=at)
-            asked = tried(at=at)
-            self.assertEqual(self.counts(Book(tries=[asked], attempts=[row], lists=[drains])), expected)
+            attempt_record = attempt(at=at)
+            try_record = tried(at=at)
+            self.assertEqual(
+                self.counts(Book(tries=[try_record], attempts=[attempt_record], lists=[drains])), expected
+            )
 
-    def test_an_outage_puts_it_off_and_an_agents_word_counts_at_once(self) -> None:
+    def test_drain_counts_later_in_an_outage_and_at_once_when_pushed(self) -> None:
         drains = ListRow(0, START + SECOND, "has", "front-0", "Terminating")
         outage = [ListRow(0, START, "down"), drains, ListRow(0, START + 3 * SECOND, "up")]
         for mode, at, expected in (
@@ -117,28 +121,28 @@
             book = Book(tries=[tried(at=at)], attempts=[attempt(at=at)], lists=list(outage))
             self.assertEqual(self.counts(book, mode), expected)
 
-    def test_a_node_that_serves_nothing_of_a_track(self) -> None:
+    def test_node_that_serves_no_request_of_a_class_for_a_while_is_out_of_use(self) -> None:
         def rejected(count: int) -> list[TryRow]:
             return [tried(number, at=number * 300 * MS, status=503, own=False) for number in range(count)]
 
-        for rows, expected in ((rejected(30), 1), (rejected(10), 0), ([*rejected(30), tried()], 1)):
+        for tries, expected in ((rejected(30), 1), (rejected(10), 0), ([*rejected(30), tried()], 1)):
             experiment = Experiment(name="x")
             played = Played(
-                experiment, Variant(name="x"), 1, START, START + 20 * SECOND, Book(tries=rows), [], {}, []
+                experiment, Variant(name="x"), 1, START, START + 20 * SECOND, Book(tries=tries), [], {}, []
             )
-            judged = Judge(experiment, played.book, played.marks, START)
-            self.assertEqual(len(broken_by(played, judged)), expected)
+            judge = Judge(experiment, played.book, played.marks, START)
+            self.assertEqual(len(find_violations(played, judge)), expected)
 
-    def test_a_failing_seed_tells_how_it_is_played_again(self) -> None:
-        self.assertIn(command_for(9, ""), told(Verdict(9, "about", ["lost: 1"], []), ""))
+    def test_verdict_of_a_failed_seed_holds_the_command_that_plays_it_again(self) -> None:
+        self.assertIn(replay_command(9, ""), format_verdict(Verdict(9, "about", ["lost: 1"], []), ""))
 
 
 class RealProcesses(unittest.TestCase):
-    def test_two_seeds_with_all_kinds_of_trouble_break_nothing(self) -> None:
-        """Seed 3: a stepped clock, failing connects, an outage, drains, a restart; seed 4: a crowd."""
+    def test_two_seeds_with_many_kinds_of_faults_give_no_violations(self) -> None:
+        """Seed 3: a stepped clock, failing connects, an outage, drains and a restart; seed 4: a crowd."""
         verdicts = asyncio.run(soak(Options(3, 2, side_by_side=2), lambda _: None))
         for verdict in verdicts:
-            self.assertEqual(verdict.broken, [], told(verdict, ""))
+            self.assertEqual(verdict.violations, [], format_verdict(verdict, ""))
 
 
 if __name__ == "__main__":
