--- a/coraldeal/rig/scale/run.py
+++ b/coraldeal/rig/scale/run.py
@@ -69,11 +69,14 @@
 class Options:
     """The options of a run; `check` refuses an option that is out of its bounds."""
 
+    # Numbers of hollow and of real nodes.
     nodes: int = 200
     real: int = 8
     seconds: float = 24.0
     seed: int = 1
+    # Changes per second outside the faults' windows.
     rate: float = 0.66
+    # Processes of hollow nodes; 0: as many as NODES_PER_PROCESS gives.
     processes: int = 0
     # Relays in each region; 0: every node asks the source itself.
     relays: int = 0
@@ -81,6 +84,7 @@
     plant: str = ""
     injected_faults: tuple[str, ...] = INJECTED_FAULTS
     settle: float = SETTLE
+    # The longest allowed time until a change is in force; 0: no limit.
     limit_ms: float = 0.0
     out: Path = field(default_factory=Path)
 
@@ -223,6 +227,7 @@
     """One run, from the drawing of its timeline to its verdict."""
 
     def __init__(self, options: Options, say: Callable[[str], None] = lambda text: None) -> None:
+        """Draw the run; raises ExperimentError if its fault can't be planted. `say` reports progress."""
         self.options = options
         self.say = say
         self.fleet: Fleet = draw_fleet(options.nodes, options.seed, options.real)
--- a/coraldeal/rig/scale/timeline.py
+++ b/coraldeal/rig/scale/timeline.py
@@ -14,11 +14,15 @@
 from coraldeal.rig.scale.journal import SOURCE_FAULTS, Change, PlantedFault, Timeline, Window, encode_weight
 
 SECOND = 1_000_000
+# The factor on the rate of changes in the windows "tenfold", "lost" and "silent".
 TENFOLD = 10
 # Changes in an hour at the target's rate. While a region is partitioned, as many occur, scaled to the fleet.
 CHANGES_PER_HOUR = 2376
-# The start and end of each fault, as fractions of the run. The source is lost for at most 3 s, so that its
-# followers have reconnected before its next fault.
+# The start and end of each fault, as fractions of the run. rack and zone: all its servers end at once;
+# release: servers of a service restart one after another; tenfold: ten times the changes; lost: the source
+# resets all connections and refuses new ones; silent: the open watches of a region get nothing more; apart: a
+# region is partitioned from the source. The source is lost for at most 3 s, so that its followers have
+# reconnected before its next fault.
 FAULT_WINDOWS = {
     "rack": (0.02, 0.10),
     "zone": (0.11, 0.22),
@@ -31,6 +35,8 @@
 # The longest time for which the source is lost.
 MAX_LOST_US = 3 * SECOND
 INJECTED_FAULTS = tuple(FAULT_WINDOWS)
+# One follower misses a change, gets two changes in the wrong order, gets changes with an old state, or keeps
+# a server that is gone.
 PLANTED_FAULTS = ("drop", "swap", "stale", "keep-gone")
 # The kinds of base events: a new weight, a drain with a replacement, a failure. To the right, the share of
 # all base events and the number of changes that one event makes.
