--- a/coraldeal/rig/soak/play.py
+++ b/coraldeal/rig/soak/play.py
@@ -109,8 +109,8 @@
     if seed % CROWD_EVERY == 0:
         options = draw_crowd(seed)
         outcome = await play_crowd(options, program, lambda _: None, folder)
-        violations = [f"drain: {outcome.violations} requests after the grace"] if outcome.violations else []
-        return Verdict(seed, f"crowd, {outcome.text().splitlines()[0]}", violations, [])
+        late_drains = [f"drain: {outcome.violations} requests after the grace"] if outcome.violations else []
+        return Verdict(seed, f"crowd, {outcome.text().splitlines()[0]}", late_drains, [])
     drawn = draw(seed)
     log = folder / "faults.log"
     not_run: list[str] = []
