--- a/coraldeal/rig/command.py
+++ b/coraldeal/rig/command.py
@@ -212,8 +212,8 @@
         raise ExperimentError("--nodes is to be in 1 to 300, --work-ms over 0 and at most 3000")
     limits = ServiceLimits(
         args.work_ms / 1000,
-        most_waiting=args.most_waiting,
-        works_for_the_gone=not args.drops_the_gone,
+        max_waiting=args.most_waiting,
+        serves_closed_calls=not args.drops_the_gone,
         ends_together=args.ends_together,
         ends_watches=args.ends_watches,
     )
@@ -236,7 +236,7 @@
                 print(f"coraldeal rig crowd --draw 1 --seed {played.seed}: {played}")
             outcome = clock.run(play(played, program, lambda text: print(text, file=sys.stderr), args.out))
             print(outcome.text(), flush=True)
-            failed += outcome.broken > 0
+            failed += outcome.violations > 0
     if drawn:
         print(f"{len(drawn) - failed} passed, {failed} failed")
     return int(failed > 0)
@@ -256,7 +256,7 @@
     folder = args.out or default_folder(Path("soak"))
     options = Options(args.first, args.seeds, args.side_by_side, args.plant, folder)
     verdicts = clock.run(play(options, lambda text: print(text, flush=True)))
-    failed = sum(bool(verdict.broken) for verdict in verdicts)
+    failed = sum(bool(verdict.violations) for verdict in verdicts)
     print(f"{len(verdicts) - failed} passed, {failed} failed; books of those that failed: {folder}")
     return int(failed > 0)
 
@@ -264,15 +264,15 @@
 def scale_run(args: argparse.Namespace) -> int:
     """The scale run; 1 where its verdict is not good."""
     from coraldeal.rig.play import default_folder
-    from coraldeal.rig.scale.run import Options, play, told
-    from coraldeal.rig.scale.timeline import PLANTS, TROUBLES
+    from coraldeal.rig.scale.run import Options, format_summary, play
+    from coraldeal.rig.scale.timeline import INJECTED_FAULTS, PLANTED_FAULTS
 
-    if args.plant and args.plant not in PLANTS:
-        raise ExperimentError(f"--plant: {args.plant!r} is none of {', '.join(PLANTS)}")
-    named = TROUBLES if args.troubles is None else tuple(args.troubles.split(","))
+    if args.plant and args.plant not in PLANTED_FAULTS:
+        raise ExperimentError(f"--plant: {args.plant!r} is none of {', '.join(PLANTED_FAULTS)}")
+    named = INJECTED_FAULTS if args.troubles is None else tuple(args.troubles.split(","))
     named = () if named == ("none",) else named
-    if unknown := [name for name in named if name not in TROUBLES]:
-        raise ExperimentError(f"--troubles: {unknown[0]!r} is none of {', '.join(TROUBLES)}")
+    if unknown := [name for name in named if name not in INJECTED_FAULTS]:
+        raise ExperimentError(f"--troubles: {unknown[0]!r} is none of {', '.join(INJECTED_FAULTS)}")
     options = Options(
         nodes=args.nodes,
         real=args.real,
@@ -283,13 +283,13 @@
         relays=args.relays,
         plant=args.plant,
         # In their own order, whatever that of the option.
-        troubles=tuple(name for name in TROUBLES if name in named),
+        injected_faults=tuple(name for name in INJECTED_FAULTS if name in named),
         settle=args.settle,
         limit_ms=args.limit_ms,
         out=args.out or default_folder(Path("scale")),
     )
     summary = clock.run(play(options, lambda text: print(text, file=sys.stderr, flush=True)))
-    print(told(summary))
+    print(format_summary(summary))
     print(f"results: {options.out}")
     return int(not summary["good"])
 
@@ -421,7 +421,7 @@
 async def _standins(args: argparse.Namespace) -> int:
     from coraldeal.rig.books import Book
     from coraldeal.rig.experiment import Experiment, Load, TierSpec, TrackSpec, Variant, World
-    from coraldeal.rig.listing import Listed, Listing
+    from coraldeal.rig.listing import ListedServer, Listing
     from coraldeal.rig.model import Group, Shape
     from coraldeal.rig.nodes import NodeProcess, Program
     from coraldeal.rig.standins import StandIn
@@ -438,7 +438,7 @@
         )
         standin.usual_work_us = int(args.work_ms * 1000)
         await standin.start({"a": 0.0})
-        listing.add(Listed(standin.name, "a", 0, standin.ports))
+        listing.add(ListedServer(standin.name, "a", 0, standin.ports))
         print(f"{standin.name} on 127.0.0.1:{standin.ports['a']}")
     port = await listing.open(0, "a")
     host, _, listen = args.listen.rpartition(":")
--- a/coraldeal/rig/nodes.py
+++ b/coraldeal/rig/nodes.py
@@ -204,7 +204,7 @@
             "discovery": f"127.0.0.1:{list_port}",
             "seed": f"{drawn:x}",
             "limits": {"sockets": experiment.world.sockets},
-            "known": listing.whole(self.zone),
+            "known": listing.full_list(self.zone),
             "settings": settings_of(experiment, self.layer, self.zone, index, instances),
         }
         for told in (experiment.node, variant.node):
--- a/coraldeal/rig/rules.py
+++ b/coraldeal/rig/rules.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from coraldeal.rig import told as sentences
+from coraldeal.rig import notification as sentences
 from coraldeal.rig.books import AttemptRow, Book, ListRow, ToldRow, TryRow
 from coraldeal.rig.experiment import Experiment
 
@@ -19,7 +19,7 @@
 # How long after a client has gone an attempt may still begin.
 LEFT_SLACK_US = 100_000
 # What the rig's lists and nodes can break; a watch's end is left to the plays that keep watches apart.
-JUDGED = (sentences.at_the_latest, sentences.after_sighup, sentences.by_the_agent)
+JUDGED = (sentences.after_longest_delay, sentences.after_sighup, sentences.by_push)
 # Violations told in full; all are counted.
 TOLD_MOST = 20
 # How many rows of a trace are told.
@@ -199,7 +199,7 @@
             for place, row in enumerate(rows):
                 if row.condition == "Ready":
                     continue
-                at, _ = sentences.told_at(history, sentences.Change(0, row.at_us / 1e6), outages, JUDGED)
+                at, _ = sentences.notified_at(history, sentences.Change(0, row.at_us / 1e6), outages, JUDGED)
                 again = [later.at_us for later in rows[place + 1 :] if later.server == row.server]
                 if at * 1e6 < min(again, default=inf):
                     lines.append(ToldRow(node, layer, int(at * 1e6), row.server, row.condition, 0))
--- a/coraldeal/rig/run.py
+++ b/coraldeal/rig/run.py
@@ -36,7 +36,7 @@
     Stop,
     Told,
 )
-from coraldeal.rig.listing import Listed, Listing, told_rows
+from coraldeal.rig.listing import ListedServer, Listing, notification_records
 from coraldeal.rig.nodes import ROOT, NodeProcess, Program, program_of
 from coraldeal.rig.rules import NodeMark
 from coraldeal.rig.timeline import Step, node_names, server_names, steps_of
@@ -252,7 +252,7 @@
             listing = Listing(layer, self.book, int(experiment.world.list_delay_ms * 1000))
             for place, name in enumerate(names):
                 zone, group = place_of(experiment, layer, place)
-                listing.add(Listed(name, zone, group, ports[name]))
+                listing.add(ListedServer(name, zone, group, ports[name]))
             self.listings.append(listing)
 
     async def _start_nodes(self, program: Program) -> None:
@@ -335,7 +335,7 @@
                 elif step.what == "drain":
                     listing.change(step.who, "Terminating")
                 elif step.what == "start":
-                    listing.change(step.who, "Ready", born=not step.warm)
+                    listing.change(step.who, "Ready", restarted=not step.warm)
                 # A server that calls through a node of its own dies with it.
                 own = next((n for n in self.nodes if n.name == f"node-of-{step.who}"), None)
                 if own is not None and step.what in ("kill", "start"):
@@ -343,9 +343,9 @@
             elif step.what.startswith("list_"):
                 for listing in self.listings:
                     if step.what == "list_late":
-                        listing.extra_us = int(step.by * 1e6)
+                        listing.extra_delay_us = int(step.by * 1e6)
                     elif step.what == "list_up":
-                        listing.extra_us = 0
+                        listing.extra_delay_us = 0
                         listing.set_down(False)
                         listing.set_wrong(False)
                     elif step.what == "list_down":
@@ -367,10 +367,10 @@
                 self._mark(node, "node_kill")
                 await node.end()
             listing = self.listings[node.layer]
-            node.config["known"] = known = listing.whole(node.zone)
+            node.config["known"] = known = listing.full_list(node.zone)
             node.path.write_bytes(msgspec.json.encode(node.config))
             # A process has been told what its configuration holds.
-            self.book.told += told_rows(node.number, node.layer, known)
+            self.book.told += notification_records(node.number, node.layer, known)
             await node.start()
             with contextlib.suppress(ExperimentError, TimeoutError):
                 await node.until_ready()
