--- a/coraldeal/rig/rules.py
+++ b/coraldeal/rig/rules.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from coraldeal.rig import told as notification_rules
+from coraldeal.rig import notification as notification_rules
 from coraldeal.rig.experiment import Experiment
 from coraldeal.rig.records import AttemptRecord, ListRecord, NotificationRecord, Records, TryRecord
 
@@ -26,9 +26,9 @@
 # The notification rules that the rig's lists and nodes can break. The rule for the end of a watch is left to
 # the experiments that distinguish watches.
 CHECKED_RULES = (
-    notification_rules.at_the_latest,
+    notification_rules.after_longest_delay,
     notification_rules.after_sighup,
-    notification_rules.by_the_agent,
+    notification_rules.by_push,
 )
 # Violations of each rule that are reported with their traces; all are counted.
 MAX_REPORTED = 20
@@ -251,7 +251,7 @@
             for place, change in enumerate(changes):
                 if change.condition == "Ready":
                     continue
-                at, _ = notification_rules.told_at(
+                at, _ = notification_rules.notified_at(
                     history, notification_rules.Change(0, change.at_us / 1e6), outages, CHECKED_RULES
                 )
                 later_changes = [
