--- a/coraldeal/admin/__init__.py
+++ b/coraldeal/admin/__init__.py
@@ -1,1 +1,4 @@
-"""The operators' door: a second address, one line to a connection. Imported only where one is named."""
+"""The admin listener: a second address, where each connection carries one line and one answer.
+
+Imported only where the configuration names its address.
+"""
--- a/coraldeal/admin/listener.py
+++ b/coraldeal/admin/listener.py
@@ -1,28 +1,33 @@
-"""The door's sockets: callers that say nothing, half a line or too much cost no one else anything."""
+"""The sockets of the admin listener.
+
+Clients that send nothing, half a line or too much can't keep other clients waiting or use up descriptors.
+"""
 
 from __future__ import annotations
 
 import asyncio
 
-from coraldeal.admin.commands import Desk, answer
+from coraldeal.admin.commands import AdminInterface, answer_line
 from coraldeal.net.accepting import Acceptor
 from coraldeal.net.listening import open_listening
 from coraldeal.net.unread import has_unread
 
-# The longest line, in bytes; how many seconds a caller may take for one; how many callers are kept at once.
-LINE_MOST = 1024
-LINE_WAIT = 6.0
-CALLERS_MOST = 24
+# The longest line, in bytes.
+MAX_LINE = 1024
+# How long a client may take to send its line, in seconds.
+LINE_TIMEOUT = 6.0
+# How many clients may be connected at once before the oldest silent one is disconnected.
+MAX_CLIENTS = 24
 BACKLOG = 64
-# Connections taken in one turn of the loop at the most.
+# Connections accepted in one turn of the event loop, at most.
 ACCEPT_AT_ONCE = 16
 
 
-class _Caller(asyncio.Protocol):
-    """One connection, from its first byte to its one answer."""
+class _Client(asyncio.Protocol):
+    """One client connection, from its first byte to its only answer."""
 
-    def __init__(self, door: Door) -> None:
-        self.door = door
+    def __init__(self, listener: AdminListener) -> None:
+        self.listener = listener
         self.line = b""
         self.answered = False
         self.transport: asyncio.Transport
@@ -30,10 +35,10 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.door.came(self)
+        self.listener.client_connected(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        self.door.gone(self)
+        self.listener.client_disconnected(self)
 
     def data_received(self, data: bytes) -> None:
         if self.answered:
@@ -41,14 +46,14 @@
         self.line += data
         line, end, _ = self.line.partition(b"\n")
         if end:
-            self._answer(answer(line, self.door.desk))
-        elif len(self.line) > LINE_MOST:
+            self._answer(answer_line(line, self.listener.interface))
+        elif len(self.line) > MAX_LINE:
             self._answer(b"ERR the line is too long\n")
 
     def eof_received(self) -> bool:
-        """A caller that ends its sending after the call still gets its answer."""
+        """Answer a client that closed its sending side after a line without a line end."""
         if not self.answered and self.line:
-            self._answer(answer(self.line, self.door.desk))
+            self._answer(answer_line(self.line, self.listener.interface))
         return False
 
     def _answer(self, text: bytes) -> None:
@@ -58,39 +63,42 @@
         self.transport.close()
 
 
-class Door:
-    """The second address: at most so many callers, the oldest gives way."""
+class AdminListener:
+    """Listens on the admin address and keeps at most `MAX_CLIENTS` connections open."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
-        self.listener: Acceptor | None = None
-        # Those who have no answer yet, the oldest first, with the end of their time.
-        self.callers: dict[_Caller, asyncio.TimerHandle] = {}
+    def __init__(self, interface: AdminInterface) -> None:
+        self.interface = interface
+        self.acceptor: Acceptor | None = None
+        # Connected clients, the oldest first, each with the timer that disconnects it.
+        self.clients: dict[_Client, asyncio.TimerHandle] = {}
 
     async def open(self, host: str, port: int) -> None:
-        """Listen; OSError where the address is taken."""
+        """Start listening; raises OSError when the address is in use."""
         listening = await open_listening(host, port)
         listening.listen(BACKLOG)
-        self.listener = Acceptor(listening, lambda: _Caller(self), ACCEPT_AT_ONCE)
-        self.listener.start()
+        self.acceptor = Acceptor(listening, lambda: _Client(self), ACCEPT_AT_ONCE)
+        self.acceptor.start()
 
-    def came(self, caller: _Caller) -> None:
+    def client_connected(self, client: _Client) -> None:
+        """Start the client's timer, and disconnect another client if there are too many."""
         loop = asyncio.get_running_loop()
-        self.callers[caller] = loop.call_later(LINE_WAIT, caller.transport.abort)
-        if len(self.callers) > CALLERS_MOST:
-            # Guards the descriptors: those who have said nothing for longest go first. Whose call has come
-            # and was not read yet is no such caller: it is answered in the loop's next turn.
-            silent = (one for one in self.callers if not has_unread(one.transport))
+        self.clients[client] = loop.call_later(LINE_TIMEOUT, client.transport.abort)
+        if len(self.clients) > MAX_CLIENTS:
+            # The client that has sent nothing for longest is disconnected, so that idle clients can't use up
+            # the descriptors. A client with unread bytes is spared: it is answered in the loop's next turn.
+            silent = (one for one in self.clients if not has_unread(one.transport))
             if (oldest := next(silent, None)) is not None:
                 oldest.transport.abort()
 
-    def gone(self, caller: _Caller) -> None:
-        timer = self.callers.pop(caller, None)
+    def client_disconnected(self, client: _Client) -> None:
+        """Stop the client's timer."""
+        timer = self.clients.pop(client, None)
         if timer is not None:
             timer.cancel()
 
     def close(self) -> None:
-        if self.listener is not None:
-            self.listener.close()
-        for caller in list(self.callers):
-            caller.transport.abort()
+        """Stop listening and disconnect all clients."""
+        if self.acceptor is not None:
+            self.acceptor.close()
+        for client in list(self.clients):
+            client.transport.abort()
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -1,4 +1,8 @@
-"""The operators' door: its lines, its bad callers, its figures against the stand-ins' own books, retuning."""
+"""The admin listener, and reloading the configuration.
+
+Guards against clients that block others, figures that differ from what the stand-in servers counted, and a
+reload that applies an invalid configuration or only part of one.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,8 @@
 from unittest import mock
 
 from coraldeal.admin import listener
-from coraldeal.admin.commands import answer
-from coraldeal.config import SettingsError, lacking, node_config, read_node_config
+from coraldeal.admin.commands import answer_line
+from coraldeal.config import SettingsError, find_missing_key, parse_node_config, read_node_config
 from coraldeal.net.servers import Connection, Target
 from coraldeal.net.wire import read_list
 from tests.standins import (
@@ -30,23 +34,25 @@
 )
 
 
-class Desk:
+class FakeInterface:
+    """A node that can't serve and that knows only the server `a`."""
+
     def can_serve(self) -> bool:
         return False
 
     def figures(self) -> dict[str, Any]:
         return {"loads": 1}
 
-    def leave_out(self, server: str) -> bool:
+    def start_maintenance(self, server: str) -> bool:
         return server == "a"
 
-    def put_back(self, server: str) -> bool:
+    def end_maintenance(self, server: str) -> bool:
         return server == "a"
 
 
-class Lines(unittest.TestCase):
-    def test_each_line_has_its_answer(self) -> None:
-        for line, wanted in (
+class AnswerLineCase(unittest.TestCase):
+    def test_each_line_gets_its_answer(self) -> None:
+        for line, expected in (
             (b"status", b"ERR this process"),
             (b" stats \r", b'{"loads":1}\nEND\n'),
             (b"maint-on a", b"OK\n"),
@@ -55,29 +61,29 @@
             (b"maint-off b", b"ERR no server b\n"),
             (b"maint-on", b"ERR maint-on takes one"),
             (b"maint-on a b", b"ERR maint-on takes one"),
-            (b"status now", b"ERR status takes nothing"),
+            (b"status now", b"ERR status takes no arguments"),
             (b"", b"ERR no such call"),
             (b"STATS", b"ERR no such call"),
             (b"\xff\xfe", b"ERR the line is not text"),
         ):
             with self.subTest(line):
-                got = answer(line, Desk())
-                self.assertTrue(got.startswith(wanted), got)
+                got = answer_line(line, FakeInterface())
+                self.assertTrue(got.startswith(expected), got)
                 self.assertTrue(got.endswith(b"\n"))
 
 
-class DoorCase(unittest.IsolatedAsyncioTestCase):
-    async def start(self, *servers: StandIn, **told: Any) -> RunningNode:
+class AdminCase(unittest.IsolatedAsyncioTestCase):
+    async def start(self, *servers: StandIn, **options: Any) -> RunningNode:
         entries = [entry(f"s{i}", server.address) for i, server in enumerate(servers)]
-        given = replace(config(server_list(1, True, *entries), **told), operator=("127.0.0.1", 0))
-        running = await self.enterAsyncContext(RunningNode(given))
+        node_config = replace(config(server_list(1, True, *entries), **options), operator=("127.0.0.1", 0))
+        running = await self.enterAsyncContext(RunningNode(node_config))
         await until(lambda: running.node.can_serve())
-        door = running.node.door
-        assert door is not None and door.listener is not None
-        self.port = door.listener.sockets[0].getsockname()[1]
+        admin = running.node.door
+        assert admin is not None and admin.acceptor is not None
+        self.port = admin.acceptor.sockets[0].getsockname()[1]
         return running
 
-    async def stand_in(self, play: Any = serve_well) -> StandIn:
+    async def start_stand_in(self, play: Any = serve_well) -> StandIn:
         stand_in = await StandIn(play).start()
         self.addCleanup(stand_in.stop)
         return stand_in
@@ -96,29 +102,29 @@
         return json.loads(text)
 
 
-class Door(DoorCase):
-    async def test_bad_callers_cost_no_one_else(self) -> None:
-        await self.start(await self.stand_in())
+class AdminListenerCase(AdminCase):
+    async def test_silent_and_invalid_clients_do_not_block_others(self) -> None:
+        await self.start(await self.start_stand_in())
         silent = [
-            await asyncio.open_connection("127.0.0.1", self.port) for _ in range(listener.CALLERS_MOST + 4)
+            await asyncio.open_connection("127.0.0.1", self.port) for _ in range(listener.MAX_CLIENTS + 4)
         ]
         silent[-1][1].write(b"stat")
         self.assertEqual(await self.call(b"status\r\n"), b"OK\n")
         self.assertEqual(await self.call(b"status\nmaint-on s0\n"), b"OK\n")
         self.assertEqual((await self.figures())["skipped_servers"], 0)
-        self.assertIn(b"too long", await self.call(b"x" * (listener.LINE_MOST + 1)))
+        self.assertIn(b"too long", await self.call(b"x" * (listener.MAX_LINE + 1)))
         silent[-1][1].write(b"us\n")
         self.assertEqual(await asyncio.wait_for(silent[-1][0].read(), 5), b"OK\n")
-        # The oldest of too many have gone.
+        # With more clients than allowed, the oldest silent one is disconnected.
         self.assertEqual(await asyncio.wait_for(silent[0][0].read(), 5), b"")
         for _, writer in silent:
             writer.close()
 
-    async def test_figures_are_those_of_the_stand_ins(self) -> None:
-        good, bad = await self.stand_in(), await self.stand_in(hang_up)
+    async def test_figures_equal_what_the_stand_ins_counted(self) -> None:
+        good, bad = await self.start_stand_in(), await self.start_stand_in(hang_up)
         running = await self.start(good, bad)
         caller = await running.caller()
-        statuses = [(await caller.ask(track))[0] for track in ("read", "write", "low") * 8]
+        statuses = [(await caller.ask(name))[0] for name in ("read", "write", "low") * 8]
         caller.raw(b"GET /read/x HTTP/1.1\r\nHost: n\r\n\r\n")
         statuses.append(await caller.status())
         figures = await self.figures()
@@ -130,48 +136,54 @@
         self.assertEqual(figures["upstream_tries"], len(good.seen) + len(bad.seen))
         self.assertEqual((figures["in_progress"], figures["known_servers"]), (0, 2))
 
-    async def test_left_out_while_a_attempt_connects(self) -> None:
-        servers = [await self.stand_in(), await self.stand_in()]
+    async def test_maintenance_that_starts_while_an_attempt_connects_moves_the_attempt(self) -> None:
+        servers = [await self.start_stand_in(), await self.start_stand_in()]
         running = await self.start(*servers)
         caller = await running.caller()
         connect = running.node.servers._connect
-        out: list[int] = []
-
-        async def slowly(target: Target, careful: bool = False) -> Connection:
-            if not out:
-                out.extend(i for i, server in enumerate(servers) if server.address == target.address)
-                self.assertEqual(await self.call(b"maint-on s%d\n" % out[0]), b"OK\n")
+        in_maintenance: list[int] = []
+
+        async def start_maintenance_first(target: Target, careful: bool = False) -> Connection:
+            if not in_maintenance:
+                in_maintenance.extend(
+                    i for i, server in enumerate(servers) if server.address == target.address
+                )
+                self.assertEqual(await self.call(b"maint-on s%d\n" % in_maintenance[0]), b"OK\n")
             return await connect(target, careful)
 
-        with mock.patch.object(running.node.servers, "_connect", slowly):
+        with mock.patch.object(running.node.servers, "_connect", start_maintenance_first):
             self.assertEqual((await caller.ask("write", b"x"))[0], 200)
-        self.assertEqual([len(server.seen) for server in servers], [out[0], 1 - out[0]])
+        self.assertEqual([len(server.seen) for server in servers], [in_maintenance[0], 1 - in_maintenance[0]])
 
 
-class Yes(DoorCase):
-    async def test_only_with_a_list(self) -> None:
-        given = config(server_list(1, True), discovery="127.0.0.1:1")
-        running = RunningNode(replace(given, known=None, operator=("127.0.0.1", 0)))
+class StatusCase(AdminCase):
+    async def test_status_is_ok_only_once_the_node_has_a_server_list(self) -> None:
+        node_config = config(server_list(1, True), discovery="127.0.0.1:1")
+        running = RunningNode(replace(node_config, known_list=None, operator=("127.0.0.1", 0)))
         await self.enterAsyncContext(running)
         await until(lambda: running.node.door is not None and running.node.phase.value == "ready")
-        door = running.node.door
-        assert door is not None and door.listener is not None
-        self.port = door.listener.sockets[0].getsockname()[1]
+        admin = running.node.door
+        assert admin is not None and admin.acceptor is not None
+        self.port = admin.acceptor.sockets[0].getsockname()[1]
         self.assertTrue((await self.call(b"status\n")).startswith(b"ERR"))
         running.node.take_list(read_list(server_list(1, True), 0))
         self.assertEqual(await self.call(b"status\n"), b"OK\n")
 
 
-class Retuning(DoorCase):
-    async def test_what_is_taken_and_what_is_turned_down(self) -> None:
-        running = await self.start(await self.stand_in())
+class ReloadCase(AdminCase):
+    async def test_reload_rejects_invalid_configurations_and_applies_valid_ones(self) -> None:
+        running = await self.start(await self.start_stand_in())
         node = running.node
         folder = Path(self.enterContext(tempfile.TemporaryDirectory()))
-        told: dict[str, Any] = {"listen": "127.0.0.1:1", "seed": "7", "settings": SETTINGS}
-        node.config = replace(node.config, given=told)
+        values_before: dict[str, Any] = {"listen": "127.0.0.1:1", "seed": "7", "settings": SETTINGS}
+        node.config = replace(node.config, raw_values=values_before)
         path = folder / "config.json"
         node.read_anew = lambda: read_node_config(str(path), {})
-        bad: list[tuple[str, str]] = [("", "JSON"), (json.dumps(told)[:-9], "JSON"), ("[]", "object")]
+        invalid: list[tuple[str, str]] = [
+            ("", "JSON"),
+            (json.dumps(values_before)[:-9], "JSON"),
+            ("[]", "object"),
+        ]
         for key, value, word in (
             ("patience_ns", 0, "above 0"),
             ("patience_ns", -1, "above 0"),
@@ -181,30 +193,30 @@
             ("payoff", float("inf"), "finite"),
             ("payoff", None, "a number"),
         ):
-            values = copy.deepcopy(told)
+            values = copy.deepcopy(values_before)
             values["settings"]["tracks"][0][key] = value
-            bad.append((json.dumps(values), word))
+            invalid.append((json.dumps(values), word))
         for attempts in (0, -2, "three", True, float("nan"), 2.5):
-            values = copy.deepcopy(told)
+            values = copy.deepcopy(values_before)
             values["settings"]["bounds"]["max_trips"] = attempts
-            bad.append((json.dumps(values), "max_trips"))
-        for lost in ("expected_time_ns", "payoff", "name"):
-            values = copy.deepcopy(told)
-            del values["settings"]["tracks"][2][lost]
-            bad.append((json.dumps(values), lost))
-        for lost in ("bounds", "tracks"):
-            values = copy.deepcopy(told)
-            del values["settings"][lost]
-            bad.append((json.dumps(values), lost))
+            invalid.append((json.dumps(values), "max_trips"))
+        for removed in ("expected_time_ns", "payoff", "name"):
+            values = copy.deepcopy(values_before)
+            del values["settings"]["tracks"][2][removed]
+            invalid.append((json.dumps(values), removed))
+        for removed in ("bounds", "tracks"):
+            values = copy.deepcopy(values_before)
+            del values["settings"][removed]
+            invalid.append((json.dumps(values), removed))
         before = node.balancer.request_classes
-        for count, (text, word) in enumerate(bad, 1):
+        for count, (text, word) in enumerate(invalid, 1):
             path.write_text(text)
             with self.assertLogs("coraldeal.net.node", "ERROR") as logs:
                 node.reload()
             self.assertIn(word, str(logs.records[0].__dict__["pairs"]["why"]))
             self.assertEqual((await self.figures())["load_errors"], count)
         self.assertIs(node.balancer.request_classes, before)
-        values = copy.deepcopy(told)
+        values = copy.deepcopy(values_before)
         values["settings"]["tracks"][1].update(name="fresh", effect="retryable")
         path.write_text(json.dumps(values))
         node.reload()
@@ -216,18 +228,20 @@
         self.assertEqual((await caller.ask("fresh"))[0], 200)
         self.assertEqual((await caller.ask("write"))[0], 404)
 
-    def test_a_key_that_was_there_is_missed_by_its_path(self) -> None:
+    def test_a_key_that_the_configuration_before_had_is_reported_by_its_path(self) -> None:
         before = {"a": {"b": 1}, "c": [{"d": 1, "e": 2}, {"d": 1}]}
-        self.assertEqual(lacking({"a": {"b": 2}, "c": [{"d": 3}]}, before), "")
-        self.assertEqual(lacking({"a": {}, "c": []}, before), "a.b")
-        self.assertEqual(lacking({"a": {"b": 2}, "c": [{"d": 1}, {"e": 1}]}, before), "c[1].d")
-        # All tracks were labelled, bound ones, and one is to be redoable anywhere.
+        self.assertEqual(find_missing_key({"a": {"b": 2}, "c": [{"d": 3}]}, before), "")
+        self.assertEqual(find_missing_key({"a": {}, "c": []}, before), "a.b")
+        self.assertEqual(find_missing_key({"a": {"b": 2}, "c": [{"d": 1}, {"e": 1}]}, before), "c[1].d")
+        # All classes were idempotent by key and bound to a zone; now one is idempotent and may go anywhere.
         bound = {"name": "a", "effect": "dedup", "window_ns": 1, "group": "all", "allowed_in": ["z"]}
         after = {"name": "a", "effect": "retryable"}
-        self.assertEqual(lacking({"tracks": [after]}, {"tracks": [bound]}), "")
-        self.assertEqual(lacking({"tracks": [{"name": "a"}]}, {"tracks": [bound]}), "tracks[0].effect")
+        self.assertEqual(find_missing_key({"tracks": [after]}, {"tracks": [bound]}), "")
+        self.assertEqual(
+            find_missing_key({"tracks": [{"name": "a"}]}, {"tracks": [bound]}), "tracks[0].effect"
+        )
         needed = {**SETTINGS, "tracks": [{**SETTINGS["tracks"][0], "effect": "dedup", "group": "all"}]}
         with self.assertRaisesRegex(SettingsError, "window_ns"):
-            node_config({"listen": "127.0.0.1:1", "settings": needed}, {})
+            parse_node_config({"listen": "127.0.0.1:1", "settings": needed}, {})
         with self.assertRaisesRegex(SettingsError, "operator"):
-            node_config({"listen": "127.0.0.1:1", "settings": SETTINGS, "operator": "nowhere"}, {})
+            parse_node_config({"listen": "127.0.0.1:1", "settings": SETTINGS, "operator": "nowhere"}, {})
