--- a/coraldeal/handover/__init__.py
+++ b/coraldeal/handover/__init__.py
@@ -1,1 +1,4 @@
-"""Two processes of one node, for the time of an upgrade. Not imported without an operators' door."""
+"""The handover from one process of a node to its successor during an upgrade.
+
+Imported only where the configuration names an admin listener.
+"""
--- a/coraldeal/handover/link.py
+++ b/coraldeal/handover/link.py
@@ -1,7 +1,7 @@
-"""The Unix socket at which two processes of one node meet, and the lines they exchange.
+"""The Unix socket over which two processes of one node do a handover, and the lines they exchange.
 
-The elder sends one byte with its listening descriptor, then a line with all that the newcomer should know;
-after that each side sends lines of its own. A line is a JSON object whose `call` says what it is.
+The predecessor sends one byte with its listening descriptor, then one line with the state that the successor
+starts from. After that each side sends lines of its own: JSON objects whose `call` names the message.
 """
 
 from __future__ import annotations
@@ -17,228 +17,241 @@
 from typing import Any, Protocol
 from zlib import crc32
 
-from coraldeal.handover.terms import Host, Terms
+from coraldeal.handover.ownership import Host, Ownership
 
 log = logging.getLogger(__name__)
 
-# The form of what an elder tells. One that is not known here is passed over.
+# The version of the state's format. A state of any other version is ignored.
 FORMAT = 1
-# How long an elder may take for its answer, in seconds, and the longest line, in bytes.
-ELDER_WAIT = 1.5
-LINE_MOST = 16 * 1024 * 1024
-# What an address of a Unix socket may hold.
-PATH_MOST = 100
+# How long a successor waits for each answer of its predecessor, in seconds.
+PREDECESSOR_TIMEOUT = 1.5
+# The longest line, in bytes.
+MAX_LINE = 16 * 1024 * 1024
+# The longest path, in bytes, that is passed as the address of a Unix socket.
+MAX_SOCKET_PATH = 100
 
 
 class Side(Host, Protocol):
-    """This process, as the link sees it."""
+    """This process, as the handover link calls it."""
 
-    def state(self) -> dict[str, Any]:
-        """What a newcomer should know."""
+    def export_state(self) -> dict[str, Any]:
+        """Return the state that a successor starts from."""
 
     def descriptor(self) -> int:
-        """The listening descriptor that a newcomer is handed."""
+        """Return the listening descriptor that a successor receives."""
 
-    def told_left_out(self, server: str) -> None:
-        """The other process was told by hand to leave a server out."""
+    def maintenance_started(self, server: str) -> None:
+        """Called when an operator has started the maintenance of a server at the other process."""
 
-    def told_put_back(self, server: str) -> None:
-        """The other process was told by hand to put a server back."""
+    def maintenance_ended(self, server: str) -> None:
+        """Called when an operator has ended the maintenance of a server at the other process."""
 
 
-class Link:
-    """This process's end of all meetings with its elder and its newcomers."""
+class HandoverLink:
+    """This process's connections to its predecessor and its successors."""
 
     def __init__(self, side: Side, folder: str, node: str) -> None:
         self.side = side
-        self.terms = Terms(side)
+        self.ownership = Ownership(side)
         self.path = Path(folder) / f"coraldeal-{crc32(node.encode()):08x}.sock"
-        self.meeting: socket.socket | None = None
-        self.elder: asyncio.StreamWriter | None = None
-        self.newcomers: dict[asyncio.StreamWriter, bool] = {}
+        # The socket at `path` that successors connect to.
+        self.listening: socket.socket | None = None
+        self.predecessor: asyncio.StreamWriter | None = None
+        # By connection: whether that successor has reported that it serves.
+        self.successors: dict[asyncio.StreamWriter, bool] = {}
         self.tasks: dict[asyncio.Task[None], None] = {}
 
-    # A newcomer's steps.
+    # As the successor.
 
-    async def find_elder(self) -> tuple[socket.socket | None, dict[str, Any]]:
-        """The elder's listening socket and state; None and nothing where no elder answers in time."""
+    async def connect_to_predecessor(self) -> tuple[socket.socket | None, dict[str, Any]]:
+        """Return the predecessor's listening socket and state.
+
+        The socket is None if no predecessor answers within PREDECESSOR_TIMEOUT. The state is empty if it
+        doesn't arrive or can't be used.
+        """
         try:
-            async with asyncio.timeout(ELDER_WAIT):
-                near, listening = await self._ask()
+            async with asyncio.timeout(PREDECESSOR_TIMEOUT):
+                connection, listening = await self._receive_listening()
         except (OSError, TimeoutError):
             return None, {}
         state: dict[str, Any] = {}
         try:
-            reader, writer = await asyncio.open_unix_connection(sock=near, limit=LINE_MOST)
-            # Kept from here on, so that it is closed whatever comes.
-            self.elder = writer
-            line = await asyncio.wait_for(reader.readline(), ELDER_WAIT)
-            told = json.loads(line)
-            if told.get("format") == FORMAT:
-                state = told["state"]
+            reader, writer = await asyncio.open_unix_connection(sock=connection, limit=MAX_LINE)
+            # Stored before anything else can fail, so that the connection is closed in any case.
+            self.predecessor = writer
+            line = await asyncio.wait_for(reader.readline(), PREDECESSOR_TIMEOUT)
+            message = json.loads(line)
+            if message.get("format") == FORMAT:
+                state = message["state"]
             else:
-                pairs = {"format": told.get("format")}
+                pairs = {"format": message.get("format")}
                 log.warning("the elder's state is of another format", extra={"pairs": pairs})
         except (OSError, TimeoutError, ValueError, KeyError, AttributeError) as error:
-            # The listening socket is good all the same: this process starts cold on it.
+            # The listening socket is still usable: this process starts on it without learned state.
             log.warning("the elder's state can't be read", extra={"pairs": {"why": repr(error)}})
-            self._leave_elder()
+            self._disconnect_predecessor()
             return listening, {}
-        self.terms.elder_answered()
-        self._start(self._hear_elder(reader))
+        self.ownership.predecessor_answered()
+        self._start_task(self._read_from_predecessor(reader))
         return listening, state
 
-    async def _ask(self) -> tuple[socket.socket, socket.socket]:
+    async def _receive_listening(self) -> tuple[socket.socket, socket.socket]:
+        """Connect to the predecessor and return the connection and the listening socket it passes."""
         loop = asyncio.get_running_loop()
-        near = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        near.setblocking(False)
-        came = asyncio.Event()
+        connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        connection.setblocking(False)
+        readable = asyncio.Event()
         try:
-            with _reachable(self.path) as path:
-                await loop.sock_connect(near, path)
-            loop.add_reader(near, came.set)
-            await came.wait()
-            _, descriptors, _, _ = socket.recv_fds(near, 1, 1)
+            with _short_path(self.path) as path:
+                await loop.sock_connect(connection, path)
+            loop.add_reader(connection, readable.set)
+            await readable.wait()
+            _, descriptors, _, _ = socket.recv_fds(connection, 1, 1)
             if not descriptors:
-                raise OSError("no descriptor came")
+                raise OSError("the predecessor passed no descriptor")
         except BaseException:
-            loop.remove_reader(near)
-            near.close()
+            loop.remove_reader(connection)
+            connection.close()
             raise
-        loop.remove_reader(near)
-        return near, socket.socket(fileno=descriptors[0])
-
-    def serve(self) -> None:
-        """This process serves: tell the elder, and take the meeting place for the next newcomer."""
-        if self.elder is not None:
-            self._send(self.elder, {"call": "serves"})
-        self._take_place()
-
-    async def _hear_elder(self, reader: asyncio.StreamReader) -> None:
-        await self._hear(reader)
-        self._leave_elder()
-        self.terms.elder_gone()
+        loop.remove_reader(connection)
+        return connection, socket.socket(fileno=descriptors[0])
+
+    def start_serving(self) -> None:
+        """Notify the predecessor that this process serves, and listen for the next successor in its place."""
+        if self.predecessor is not None:
+            self._send(self.predecessor, {"call": "serves"})
+        self._start_listening()
+
+    async def _read_from_predecessor(self, reader: asyncio.StreamReader) -> None:
+        await self._read_messages(reader)
+        self._disconnect_predecessor()
+        self.ownership.predecessor_gone()
         log.info("the elder is gone")
 
-    def _leave_elder(self) -> None:
-        if self.elder is not None:
-            self.elder.close()
-            self.elder = None
+    def _disconnect_predecessor(self) -> None:
+        if self.predecessor is not None:
+            self.predecessor.close()
+            self.predecessor = None
 
-    # An elder's steps.
+    # As the predecessor.
 
-    def _take_place(self) -> None:
-        # Some systems refuse such sockets altogether: this process then serves without a successor.
+    def _start_listening(self) -> None:
+        # Some systems don't allow Unix sockets at all: this process then serves without a successor.
         try:
-            meeting = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+            listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         except OSError as error:
             log.warning("no place to meet a newcomer", extra={"pairs": {"why": error}})
             return
         try:
-            # What stands there is the elder's, or was left by a process long gone.
+            # A file at this path is the predecessor's socket or was left behind by a process that ended.
             self.path.unlink(missing_ok=True)
-            with _reachable(self.path) as path:
-                meeting.bind(path)
+            with _short_path(self.path) as path:
+                listening.bind(path)
             os.chmod(self.path, 0o600)
-            meeting.listen(4)
+            listening.listen(4)
         except OSError as error:
-            meeting.close()
+            listening.close()
             log.warning("no place to meet a newcomer", extra={"pairs": {"why": error}})
             return
-        meeting.setblocking(False)
-        self._leave_place()
-        self.meeting = meeting
-        asyncio.get_running_loop().add_reader(meeting, self._newcomer_knocks, meeting)
-
-    def _leave_place(self) -> None:
-        if self.meeting is not None:
-            asyncio.get_running_loop().remove_reader(self.meeting)
-            self.meeting.close()
-            self.meeting = None
-
-    def _newcomer_knocks(self, meeting: socket.socket) -> None:
+        listening.setblocking(False)
+        self._stop_listening()
+        self.listening = listening
+        asyncio.get_running_loop().add_reader(listening, self._accept_successor, listening)
+
+    def _stop_listening(self) -> None:
+        if self.listening is not None:
+            asyncio.get_running_loop().remove_reader(self.listening)
+            self.listening.close()
+            self.listening = None
+
+    def _accept_successor(self, listening: socket.socket) -> None:
         try:
-            near = meeting.accept()[0]
+            connection = listening.accept()[0]
         except OSError:
             return
         try:
-            near.setblocking(False)
-            socket.send_fds(near, [b"+"], [self.side.descriptor()])
+            connection.setblocking(False)
+            socket.send_fds(connection, [b"+"], [self.side.descriptor()])
         except OSError:
-            near.close()
+            connection.close()
             return
-        self._start(self._meet(near))
+        self._start_task(self._serve_successor(connection))
 
-    async def _meet(self, near: socket.socket) -> None:
-        reader, writer = await asyncio.open_unix_connection(sock=near, limit=LINE_MOST)
-        self.newcomers[writer] = False
-        self.terms.newcomer_came()
+    async def _serve_successor(self, connection: socket.socket) -> None:
+        reader, writer = await asyncio.open_unix_connection(sock=connection, limit=MAX_LINE)
+        self.successors[writer] = False
+        self.ownership.successor_connected()
         log.info("a newcomer came")
         try:
-            # Told after the terms: what is shared out is already halved in it.
-            self._send(writer, {"format": FORMAT, "state": self.side.state()})
-            await self._hear(reader, writer)
+            # Sent after the change of ownership, so that the state holds limits that are already shared.
+            self._send(writer, {"format": FORMAT, "state": self.side.export_state()})
+            await self._read_messages(reader, writer)
         finally:
-            # Whatever ends it, this process must not go on as half of a node.
-            served = self.newcomers.pop(writer)
+            # Also after an error or a cancellation: this process must not keep only a share of the limits.
+            served = self.successors.pop(writer)
             writer.close()
-            self.terms.newcomer_gone(served)
+            self.ownership.successor_gone(served)
             log.info("the newcomer is gone", extra={"pairs": {"served": served}})
-        if not self.terms.ending and not self.newcomers:
-            # It may have taken the meeting place.
-            self._take_place()
+        if not self.ownership.is_ending and not self.successors:
+            # The successor may have replaced the socket at the path by its own.
+            self._start_listening()
 
-    # Both.
+    # In both roles.
 
-    def left_out(self, server: str) -> None:
-        self._tell({"call": "leave-out", "server": server})
+    def notify_maintenance_started(self, server: str) -> None:
+        """Notify the other processes that the maintenance of a server was started here."""
+        self._send_to_all({"call": "leave-out", "server": server})
 
-    def put_back(self, server: str) -> None:
-        self._tell({"call": "put-back", "server": server})
+    def notify_maintenance_ended(self, server: str) -> None:
+        """Notify the other processes that the maintenance of a server was ended here."""
+        self._send_to_all({"call": "put-back", "server": server})
 
-    def _tell(self, message: dict[str, Any]) -> None:
-        for writer in [*self.newcomers, *([self.elder] if self.elder is not None else [])]:
+    def _send_to_all(self, message: dict[str, Any]) -> None:
+        for writer in [*self.successors, *([self.predecessor] if self.predecessor is not None else [])]:
             self._send(writer, message)
 
     def _send(self, writer: asyncio.StreamWriter, message: dict[str, Any]) -> None:
         writer.write(json.dumps(message, separators=(",", ":")).encode() + b"\n")
 
-    async def _hear(self, reader: asyncio.StreamReader, newcomer: asyncio.StreamWriter | None = None) -> None:
-        """All that the other side says, until it is gone."""
+    async def _read_messages(
+        self, reader: asyncio.StreamReader, successor: asyncio.StreamWriter | None = None
+    ) -> None:
+        """Handle messages until the other side closes the connection or sends one that can't be read."""
         try:
             while line := await reader.readline():
-                self._heard(json.loads(line), newcomer)
+                self._handle_message(json.loads(line), successor)
         except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
-            log.warning("the link broke", extra={"pairs": {"why": repr(error)}})
+            log.warning("handover connection failed", extra={"pairs": {"why": repr(error)}})
 
-    def _heard(self, message: dict[str, Any], newcomer: asyncio.StreamWriter | None) -> None:
+    def _handle_message(self, message: dict[str, Any], successor: asyncio.StreamWriter | None) -> None:
         call = message["call"]
         if call == "leave-out":
-            self.side.told_left_out(str(message["server"]))
+            self.side.maintenance_started(str(message["server"]))
         elif call == "put-back":
-            self.side.told_put_back(str(message["server"]))
-        elif call == "serves" and newcomer is not None and not self.newcomers[newcomer]:
-            self.newcomers[newcomer] = True
-            self.terms.newcomer_serves()
+            self.side.maintenance_ended(str(message["server"]))
+        elif call == "serves" and successor is not None and not self.successors[successor]:
+            self.successors[successor] = True
+            self.ownership.successor_serves()
 
-    def _start(self, hearing: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(hearing)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks[task] = None
         task.add_done_callback(lambda done: self.tasks.pop(done))
 
     async def close(self) -> None:
-        self._leave_place()
+        """Stop listening and end all connections."""
+        self._stop_listening()
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        self._leave_elder()
+        self._disconnect_predecessor()
 
 
 @contextlib.contextmanager
-def _reachable(path: Path) -> Any:
-    """A path that the address of a Unix socket can hold, however deep the folder lies."""
-    if len(os.fsencode(path)) <= PATH_MOST:
+def _short_path(path: Path) -> Any:
+    """Yield a path that fits into the address of a Unix socket, however long the folder's path is."""
+    if len(os.fsencode(path)) <= MAX_SOCKET_PATH:
         yield str(path)
         return
     folder = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
