--- a/coraldeal/config.py
+++ b/coraldeal/config.py
@@ -1,7 +1,7 @@
-"""The one place where configuration is read, checked and given defaults; messages name the faulty key.
+"""Reads and checks the configuration and fills in its defaults. Each error names the faulty key.
 
-`read_settings` turns what the operators state of a deployment into the types of coraldeal.interface;
-`read_node_config` reads all that a real node is told.
+`read_settings` parses the settings that the decisions need into the types of coraldeal.interface;
+`read_node_config` parses the whole configuration file of a node.
 """
 
 from __future__ import annotations
@@ -24,13 +24,14 @@
 }
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
-# What a track may lack though all of those before it had it: with another effect it has neither window nor
-# group, and it may be bound to nothing. Where one is needed the reading itself misses it.
-MAY_LACK = ("window_ns", "group", "allowed_in", "shapes_open")
+# Keys that a request class may lack even if all classes of the configuration before had them: only a class
+# that is idempotent by key has a window and a group, and the last two are optional. Where one is required,
+# parsing reports it.
+OPTIONAL_CLASS_KEYS = ("window_ns", "group", "allowed_in", "shapes_open")
 
-# What a node takes for settings that its configuration leaves out: one node alone in front of one tier, which
-# may do little. On the bench's wire nothing may be left out.
-TRACK_DEFAULTS: dict[str, Any] = {"effect": "fragile", "payoff": 1.0, "late_payoff": 0.0}
+# Defaults for the settings that a node's configuration leaves out: a single node in front of one layer of
+# servers, with cautious limits. On the simulator's wire no setting may be left out.
+CLASS_DEFAULTS: dict[str, Any] = {"effect": "fragile", "payoff": 1.0, "late_payoff": 0.0}
 DEFAULTS: dict[str, Any] = {
     "layer": 0,
     "instances": 1,
@@ -61,11 +62,11 @@
 
 
 class SettingsError(Exception):
-    """A required key is missing or holds a value that cannot be used."""
+    """A required key is missing, or a key has a value that can't be used."""
 
 
 class _Reader:
-    """Reads keys of one JSON object and names the full path of a key that is not as it must be."""
+    """Reads the keys of one JSON object; a SettingsError names the full path of a missing or invalid key."""
 
     def __init__(self, values: Any, path: str = "", defaults: dict[str, Any] | None = None) -> None:
         self.path = path
@@ -77,22 +78,22 @@
     def has(self, key: str) -> bool:
         return self.values.get(key) is not None
 
-    def _get(self, key: str, kinds: tuple[type, ...], what: str) -> Any:
+    def _get(self, key: str, types: tuple[type, ...], expected: str) -> Any:
         if key in self.values:
             value = self.values[key]
         elif key in self.defaults:
             value = self.defaults[key]
         else:
             raise SettingsError(f"setting {self.path}{key} is missing")
-        if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise SettingsError(f"setting {self.path}{key} is not {what}")
+        if not isinstance(value, types) or (isinstance(value, bool) and bool not in types):
+            raise SettingsError(f"setting {self.path}{key} is not {expected}")
         return value
 
-    def whole(self, key: str) -> int:
+    def integer(self, key: str) -> int:
         return int(self._get(key, (int,), "a whole number"))
 
-    def above_zero(self, key: str) -> int:
-        value = self.whole(key)
+    def positive_integer(self, key: str) -> int:
+        value = self.integer(key)
         if value <= 0:
             raise SettingsError(f"setting {self.path}{key} is not above 0")
         return value
@@ -103,163 +104,170 @@
             raise SettingsError(f"setting {self.path}{key} is not a finite number")
         return value
 
-    def flag(self, key: str) -> bool:
+    def boolean(self, key: str) -> bool:
         return bool(self._get(key, (bool,), "true or false"))
 
     def text(self, key: str) -> str:
         return str(self._get(key, (str,), "text"))
 
-    def word(self, key: str, words: dict[str, Any]) -> Any:
+    def choice(self, key: str, choices: dict[str, Any]) -> Any:
         value = self.text(key)
-        if value not in words:
+        if value not in choices:
             raise SettingsError(f"setting {self.path}{key} has the unknown value {value!r}")
-        return words[value]
+        return choices[value]
 
-    def micros(self, key: str) -> int:
-        return self.whole(key) // 1000
+    def microseconds(self, key: str) -> int:
+        """Return a time that the configuration gives in nanoseconds, rounded down."""
+        return self.integer(key) // 1000
 
-    def part(self, key: str, defaults: dict[str, Any] | None = None) -> _Reader:
+    def object(self, key: str, defaults: dict[str, Any] | None = None) -> _Reader:
         values = self._get(key, (dict,), "an object")
         return _Reader(values, f"{self.path}{key}.", defaults or self.defaults.get(key))
 
-    def parts(self, key: str, defaults: dict[str, Any] | None = None) -> list[_Reader]:
+    def objects(self, key: str, defaults: dict[str, Any] | None = None) -> list[_Reader]:
         return [_Reader(item, f"{self.path}{key}[{i}].", defaults) for i, item in enumerate(self.items(key))]
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """A list of texts that may be left out."""
+        """Return a list of texts; empty where the key is missing."""
         if not self.has(key):
             return ()
-        found = self.items(key)
-        for place, item in enumerate(found):
+        items = self.items(key)
+        for index, item in enumerate(items):
             if not isinstance(item, str):
-                raise SettingsError(f"setting {self.path}{key}[{place}] is not text")
-        return tuple(found)
+                raise SettingsError(f"setting {self.path}{key}[{index}] is not text")
+        return tuple(items)
 
     def items(self, key: str) -> list[Any]:
         return list(self._get(key, (list,), "a list"))
 
 
-def _track(reader: _Reader) -> RequestClass:
-    effect = reader.word("effect", EFFECTS)
-    labelled = effect is Effect.IDEMPOTENT_BY_KEY
+def _parse_request_class(reader: _Reader) -> RequestClass:
+    effect = reader.choice("effect", EFFECTS)
+    by_key = effect is Effect.IDEMPOTENT_BY_KEY
     return RequestClass(
         name=reader.text("name"),
         effect=effect,
-        group=reader.word("group", GROUPS) if labelled else Group.ALL,
-        dedup_window_us=reader.micros("window_ns") if labelled else 0,
-        latency_target_us=max(1, reader.above_zero("expected_time_ns") // 1000),
-        deadline_us=max(1, reader.above_zero("patience_ns") // 1000),
+        group=reader.choice("group", GROUPS) if by_key else Group.ALL,
+        dedup_window_us=reader.microseconds("window_ns") if by_key else 0,
+        latency_target_us=max(1, reader.positive_integer("expected_time_ns") // 1000),
+        deadline_us=max(1, reader.positive_integer("patience_ns") // 1000),
         worth=reader.number("payoff"),
         late_worth=reader.number("late_payoff"),
-        # Sorted, so that what is bound alike is seen to be.
+        # Sorted, so that classes with the same zones and kinds in another order compare as equal.
         zones=tuple(sorted(reader.texts("allowed_in"))),
         kinds=tuple(sorted(reader.texts("shapes_open"))),
     )
 
 
-def _tenant(reader: _Reader) -> Tenant:
+def _parse_tenant(reader: _Reader) -> Tenant:
     return Tenant(reader.text("name"), reader.number("quota_per_s"))
 
 
-def _parsed(text: str, what: str) -> Any:
+def _parse_json(text: str, subject: str) -> Any:
     try:
         return json.loads(text)
     except ValueError as error:
-        raise SettingsError(f"{what} are not JSON: {error}") from None
+        raise SettingsError(f"{subject} are not JSON: {error}") from None
 
 
 def read_settings(text: str) -> Settings:
-    """Settings from the JSON text of a `boot` line; unknown keys are passed over."""
-    return _settings(_Reader(_parsed(text, "settings")))
+    """Parse the settings from the JSON text of the simulator's `boot` event; unknown keys are ignored.
+
+    Raises SettingsError.
+    """
+    return _parse_settings(_Reader(_parse_json(text, "settings")))
 
 
-def _settings(top: _Reader, track_defaults: dict[str, Any] | None = None) -> Settings:
-    bounds, rules, reporting = top.part("bounds"), top.part("rules"), top.part("reporting")
-    asked = top.word("discovery", {"ask": True, "push": False})
+def _parse_settings(top: _Reader, class_defaults: dict[str, Any] | None = None) -> Settings:
+    bounds, rules, reporting = top.object("bounds"), top.object("rules"), top.object("reporting")
+    list_is_pulled = top.choice("discovery", {"ask": True, "push": False})
     settings = Settings(
-        layer=top.whole("layer"),
-        self_index=top.whole("self_index"),
-        instances=max(1, top.whole("instances")),
-        tick_us=top.micros("tick_ns"),
+        layer=top.integer("layer"),
+        self_index=top.integer("self_index"),
+        instances=max(1, top.integer("instances")),
+        tick_us=top.microseconds("tick_ns"),
         zone=top.text("zone"),
-        request_classes=[_track(reader) for reader in top.parts("tracks", track_defaults)],
-        tenants=[_tenant(reader) for reader in top.parts("tenants")],
+        request_classes=[_parse_request_class(reader) for reader in top.objects("tracks", class_defaults)],
+        tenants=[_parse_tenant(reader) for reader in top.objects("tenants")],
         beyond_share_worth=top.number("beyond_share_payoff"),
-        list_is_pulled=asked,
-        pull_interval_us=rules.micros("ask_every_ns") if asked else 0,
-        max_attempts=bounds.above_zero("max_trips"),
-        may_cancel=bounds.flag("cancel"),
-        may_send_retry_after=bounds.flag("retry_after"),
-        max_retry_after_us=bounds.micros("max_retry_after_ns"),
+        list_is_pulled=list_is_pulled,
+        pull_interval_us=rules.microseconds("ask_every_ns") if list_is_pulled else 0,
+        max_attempts=bounds.positive_integer("max_trips"),
+        may_cancel=bounds.boolean("cancel"),
+        may_send_retry_after=bounds.boolean("retry_after"),
+        max_retry_after_us=bounds.microseconds("max_retry_after_ns"),
         cold_capacity=rules.number("cold_from"),
-        warm_up_us=rules.micros("warm_after_ns"),
+        warm_up_us=rules.microseconds("warm_after_ns"),
         collapse_multiple=rules.number("fall_multiple"),
-        collapse_window_us=rules.micros("fall_ns"),
+        collapse_window_us=rules.microseconds("fall_ns"),
         report_fields=[str(name) for name in reporting.values.get("fields") or []],
-        peers=max(1, top.whole("instances")) if bounds.flag("peers") else 0,
-        peer_index=top.whole("self_index"),
+        peers=max(1, top.integer("instances")) if bounds.boolean("peers") else 0,
+        peer_index=top.integer("self_index"),
     )
-    names = [track.name for track in settings.request_classes]
-    if twice := [name for place, name in enumerate(names) if name in names[:place]]:
-        raise SettingsError(f"setting {top.path}tracks names {twice[0]!r} twice")
+    names = [request_class.name for request_class in settings.request_classes]
+    if duplicates := [name for index, name in enumerate(names) if name in names[:index]]:
+        raise SettingsError(f"setting {top.path}tracks names {duplicates[0]!r} twice")
     return settings
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """All that a real node is told. Times are in whole microseconds."""
+    """The whole configuration of a node. Times are whole microseconds."""
 
     name: str
     host: str
     port: int
-    # The operators' door; None: there is none.
+    # Where the admin listener listens; None: there is none.
     operator: tuple[str, int] | None
-    # None: there is no discovery, the known list stands for good.
+    # The address of discovery; None: there is no discovery, and the known list never changes.
     discovery: str | None
     seed: int
+    # How many descriptors the node may use.
     sockets: int
-    # The list of servers as this node last had it, in discovery's form.
-    known: Any
-    # The configuration as it was given, without that list.
-    given: Mapping[str, Any]
+    # The server list that the node starts with, in discovery's format; None: there is none.
+    known_list: Any
+    # The values of the configuration file, without the known list.
+    raw_values: Mapping[str, Any]
     conn_idle_us: int
     connect_timeout_us: int
     settings: Settings
-    # Where the nodes that exchange notes listen, each by its number, this one too; None: there are none.
+    # The addresses of all nodes that exchange peer messages, by their numbers, this node's included; None:
+    # no peer messages.
     peers: tuple[tuple[str, int], ...] | None = None
 
 
 def read_address(text: str, key: str) -> tuple[str, int]:
+    """Parse `address:port`; raises SettingsError, which names the setting `key`."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or int(port) > 65535:
         raise SettingsError(f"setting {key} is not of the form address:port: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def lacking(given: Any, before: Any, path: str = "") -> str:
-    """The path of the first key that a configuration lacks and the one before it had; empty: it has all.
+def find_missing_key(values: Any, before: Any, path: str = "") -> str:
+    """Return the path of the first key of the configuration `before` that `values` lacks; empty: none.
 
-    What one kind of track alone must have, others may lack: in a list only what all items had is wanted, and
-    of that nothing that depends on a track's effect or may be left out at any time.
+    The items of a list have to have only the keys that all items of the list before had, because request
+    classes need different keys: neither the keys that depend on the effect nor the optional ones count.
     """
-    if isinstance(before, dict) and isinstance(given, dict):
+    if isinstance(before, dict) and isinstance(values, dict):
         for key, value in before.items():
-            here = f"{path}.{key}" if path else key
-            if key not in given:
-                return here
-            if found := lacking(given[key], value, here):
-                return found
-    elif isinstance(before, list) and isinstance(given, list):
+            key_path = f"{path}.{key}" if path else key
+            if key not in values:
+                return key_path
+            if missing := find_missing_key(values[key], value, key_path):
+                return missing
+    elif isinstance(before, list) and isinstance(values, list):
         items = [item for item in before if isinstance(item, dict)]
-        named = [key for key in (items[0] if items else {}) if key not in MAY_LACK]
-        wanted = {key: None for key in named if all(key in item for item in items)}
-        for place, item in enumerate(given):
-            if found := lacking(item, wanted, f"{path}[{place}]"):
-                return found
+        candidates = [key for key in (items[0] if items else {}) if key not in OPTIONAL_CLASS_KEYS]
+        required = {key: None for key in candidates if all(key in item for item in items)}
+        for index, item in enumerate(values):
+            if missing := find_missing_key(item, required, f"{path}[{index}]"):
+                return missing
     return ""
 
 
-def _seed(top: _Reader) -> int:
+def _parse_seed(top: _Reader) -> int:
     if not top.has("seed"):
         return int.from_bytes(os.urandom(8), "big")
     text = top.text("seed")
@@ -270,70 +278,80 @@
 
 
 def read_node_config(path: str, env: Mapping[str, str]) -> NodeConfig:
-    """The configuration file; PROXY_NAME, _LISTEN, _DISCOVERY and _OPERATOR overrule it where set.
+    """Read the configuration file; raises SettingsError.
 
-    They tell of the start: of a file that was replaced since, `env` without PROXY_DISCOVERY is to be given.
+    PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_OPERATOR in `env` override the file's values. Pass
+    an `env` without PROXY_DISCOVERY when a replaced file is read again: its discovery address is newer than
+    the environment's.
     """
     try:
         with open(path, encoding="utf-8") as file:
-            values = _parsed(file.read(), "the contents")
+            values = _parse_json(file.read(), "the contents")
     except (OSError, UnicodeDecodeError, SettingsError) as error:
         raise SettingsError(f"configuration {path}: {error}") from None
-    return node_config(values, env)
+    return parse_node_config(values, env)
+
 
+def _parse_peers(top: _Reader, settings: Settings) -> tuple[tuple[tuple[str, int], ...] | None, Settings]:
+    """Return the addresses of the nodes that exchange peer messages, and the settings with their number.
 
-def _peers(top: _Reader, settings: Settings) -> tuple[tuple[tuple[str, int], ...] | None, Settings]:
-    """The nodes to exchange notes with, and the settings with how many they are: those named here alone."""
+    Only the nodes that the key `peers` lists exchange messages, whatever `instances` says.
+    """
     if not top.has("peers"):
         return None, replace(settings, peers=0)
     if not settings.peers:
         raise SettingsError("setting peers is given, but settings.bounds.peers does not allow messages")
-    part = top.part("peers")
+    peers = top.object("peers")
     addresses = []
-    for place, text in enumerate(part.items("nodes")):
-        key = f"peers.nodes[{place}]"
+    for index, text in enumerate(peers.items("nodes")):
+        key = f"peers.nodes[{index}]"
         host, port = read_address(text if isinstance(text, str) else repr(text), key)
         try:
-            # As a datagram's sender is told, to be compared with it.
+            # In the spelling that a datagram's sender has, since the two are compared.
             addresses.append((str(ipaddress.IPv4Address(host)), port))
         except ValueError:
             raise SettingsError(f"setting {key} is not an IPv4 address and port: {text!r}") from None
     if len(set(addresses)) < len(addresses):
         raise SettingsError("setting peers.nodes names an address twice")
-    me = part.whole("self")
-    if not 0 <= me < len(addresses):
-        raise SettingsError(f"setting peers.self is no place in peers.nodes: {me}")
-    return tuple(addresses), replace(settings, peers=len(addresses), peer_index=me)
+    own_index = peers.integer("self")
+    if not 0 <= own_index < len(addresses):
+        raise SettingsError(f"setting peers.self is not an index into peers.nodes: {own_index}")
+    return tuple(addresses), replace(settings, peers=len(addresses), peer_index=own_index)
+
 
+def parse_node_config(values: Any, env: Mapping[str, str]) -> NodeConfig:
+    """Check the values of a configuration file and fill in its defaults; raises SettingsError.
 
-def node_config(values: Any, env: Mapping[str, str]) -> NodeConfig:
-    """A configuration already parsed, checked and given its defaults."""
+    `env` overrides them as in `read_node_config`.
+    """
     if isinstance(values, dict):
         values = dict(values)
-        told = {key: env.get(f"PROXY_{key.upper()}") for key in ("name", "listen", "discovery", "operator")}
-        values.update({key: value for key, value in told.items() if value})
+        overrides = {
+            key: env.get(f"PROXY_{key.upper()}") for key in ("name", "listen", "discovery", "operator")
+        }
+        values.update({key: value for key, value in overrides.items() if value})
     top = _Reader(values)
     host, port = read_address(top.text("listen"), "listen")
     if top.has("discovery"):
         read_address(top.text("discovery"), "discovery")
-    settings = top.part("settings", DEFAULTS)
-    bounds = settings.part("bounds")
-    peers, decided = _peers(top, _settings(settings, TRACK_DEFAULTS))
+    settings = top.object("settings", DEFAULTS)
+    bounds = settings.object("bounds")
+    peers, node_settings = _parse_peers(top, _parse_settings(settings, CLASS_DEFAULTS))
     sockets = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-    if top.has("limits") and (limits := top.part("limits")).has("sockets"):
-        sockets = min(sockets, limits.whole("sockets"))
+    if top.has("limits") and (limits := top.object("limits")).has("sockets"):
+        sockets = min(sockets, limits.integer("sockets"))
     return NodeConfig(
         name=top.text("name") if top.has("name") else "node",
         host=host,
         port=port,
         operator=read_address(top.text("operator"), "operator") if top.has("operator") else None,
         discovery=top.text("discovery") if top.has("discovery") else None,
-        seed=_seed(top),
+        seed=_parse_seed(top),
         sockets=sockets,
-        known=top.part("known").values if top.has("known") else None,
-        given={key: value for key, value in top.values.items() if key != "known"},
-        conn_idle_us=bounds.micros("conn_idle_ns"),
-        connect_timeout_us=bounds.micros("connect_timeout_ns"),
-        settings=decided,
+        known_list=top.object("known").values if top.has("known") else None,
+        raw_values={key: value for key, value in top.values.items() if key != "known"},
+        conn_idle_us=bounds.microseconds("conn_idle_ns"),
+        connect_timeout_us=bounds.microseconds("connect_timeout_ns"),
+        settings=node_settings,
         peers=peers,
     )
