--- a/coraldeal/operator.py
+++ b/coraldeal/operator.py
@@ -1,6 +1,7 @@
-"""The operator's own file: TOML, one table a subsystem, all off unless asked for. Read where it is named.
+"""The operator's file: an optional TOML file with one table for each subsystem, all off by default.
 
-A message names the key at fault: `connections.risk: 2 is not between 0 and 1`.
+An error names the faulty key: `connections.risk: 2 is not between 0 and 1`. The fields of the tables' classes
+are the keys of the file. Imported only where the command line names such a file.
 """
 
 from __future__ import annotations
@@ -18,41 +19,44 @@
 class ConnectionsTable:
     """`[connections]`: connections to servers."""
 
-    # Learn from closes how long one at rest may be used again; else the configured limit is trusted.
+    # Learn from the servers' closes how long a connection may be idle and still be reused. Otherwise the
+    # configured limit (`conn_idle_ns`) is used.
     learn: bool = False
-    # The chance of meeting a server's close that is worth taking for what may run again.
+    # The accepted probability that a reused connection is just being closed by the server, for attempts that
+    # may be repeated.
     risk: float = 0.01
-    # After how many seconds a connection is not used again, a quarter less by chance; 0: never for its age.
+    # Connections older than this are not reused, in seconds; a random part of up to a quarter is taken off.
+    # 0: no limit.
     oldest_seconds: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class ListsTable:
-    """`[lists]`: where a node follows the list of servers instead of the configuration's `discovery`."""
+    """`[lists]`: where a node gets the server list, instead of from the configuration's `discovery`."""
 
-    # Relays or sources of one list, address:port each, of which any may take another's place; none: off.
+    # Relays or sources of the same list, address:port each, any of which can replace another; empty: off.
     sources: tuple[str, ...] = ()
-    # The services whose servers it asks for; none: all that is told there.
+    # The services whose servers are requested; empty: all that the source has.
     services: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class RelayTable:
-    """`[relay]`: what `coraldeal relay` does; a node passes it over."""
+    """`[relay]`: the settings of `coraldeal relay`; a node ignores this table."""
 
-    # Where followers come, address:port.
+    # Where the relay listens for followers, address:port.
     listen: str = ""
-    # The source of the list and other relays of it, address:port each.
+    # The source of the list and other relays of the same list, address:port each.
     sources: tuple[str, ...] = ()
-    # The services that are followed; none: all that is told there.
+    # The services that the relay follows; empty: all that the source has.
     services: tuple[str, ...] = ()
-    # How many followers are served at once, as far as descriptors go.
+    # The most followers at once; the limit of descriptors may lower it.
     followers: int = 2000
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorFile:
-    """The whole file."""
+    """The tables of the operator's file."""
 
     connections: ConnectionsTable = field(default_factory=ConnectionsTable)
     lists: ListsTable = field(default_factory=ListsTable)
@@ -78,7 +82,7 @@
 }
 
 
-def _value(path: str, value: Any, default: Any) -> Any:
+def _check_value(path: str, value: Any, default: Any) -> Any:
     if isinstance(default, bool):
         if not isinstance(value, bool):
             raise SettingsError(f"{path}: {value!r} is not true or false")
@@ -93,32 +97,34 @@
         raise SettingsError(f"{path}: {value!r} is not a whole number")
     elif not isinstance(value, int | float) or isinstance(value, bool) or not math.isfinite(value):
         raise SettingsError(f"{path}: {value!r} is not a number")
-    holds, what = CHECKS.get(path, (lambda value: True, ""))
-    if not holds(value):
-        raise SettingsError(f"{path}: {value} {what}")
+    is_valid, fault = CHECKS.get(path, (lambda value: True, ""))
+    if not is_valid(value):
+        raise SettingsError(f"{path}: {value} {fault}")
     return value
 
 
-def read_operator(path: str) -> OperatorFile:
-    """The file, checked; raises SettingsError."""
+def read_operator_file(path: str) -> OperatorFile:
+    """Read and check the operator's file; raises SettingsError."""
     try:
         with open(path, "rb") as file:
             values = tomllib.load(file)
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise SettingsError(f"operator's file {path}: {error}") from None
     tables: dict[str, Any] = {}
-    known = {part.name: part.default_factory for part in fields(OperatorFile)}
+    factories = {item.name: item.default_factory for item in fields(OperatorFile)}
     for name, table in values.items():
-        make = known.get(name)
-        if not callable(make):
-            raise SettingsError(f"{name}: no such table; there are {', '.join(known)}")
+        factory = factories.get(name)
+        if not callable(factory):
+            raise SettingsError(f"{name}: no such table; there are {', '.join(factories)}")
         if not isinstance(table, dict):
             raise SettingsError(f"{name}: is not a table")
-        default = make()
-        keys = [part.name for part in fields(default)]
+        default = factory()
+        keys = [item.name for item in fields(default)]
         for key in table:
             if key not in keys:
                 raise SettingsError(f"{name}.{key}: no such key; there are {', '.join(keys)}")
-        read = {key: _value(f"{name}.{key}", value, getattr(default, key)) for key, value in table.items()}
-        tables[name] = type(default)(**read)
+        checked = {
+            key: _check_value(f"{name}.{key}", value, getattr(default, key)) for key, value in table.items()
+        }
+        tables[name] = type(default)(**checked)
     return OperatorFile(**tables)
