--- a/coraldeal/logs.py
+++ b/coraldeal/logs.py
@@ -1,4 +1,4 @@
-"""Log lines as key=value pairs, such as `time=... level=info name=coraldeal.net.node event="watch over"`."""
+"""Log lines of key=value pairs, such as `time=... level=info name=coraldeal.net.node event="watch over"`."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from typing import Any
 
 
-def _quoted(value: object) -> str:
+def _quote(value: object) -> str:
     text = str(value).replace("\n", "\\n")
     return '"' + text.replace('"', "'") + '"' if not text or " " in text or "=" in text else text
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Formats a record and whatever pairs it carries in `extra={"pairs": {...}}`."""
+    """Formats a log record and the pairs passed as `extra={"pairs": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
+        timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs: dict[str, Any] = {
-            "time": f"{stamp}.{int(record.msecs):03d}Z",
+            "time": f"{timestamp}.{int(record.msecs):03d}Z",
             "level": record.levelname.lower(),
             "name": record.name,
             "event": record.getMessage(),
@@ -27,32 +27,35 @@
         }
         if record.exc_info:
             pairs["trace"] = self.formatException(record.exc_info)
-        return " ".join(f"{key}={_quoted(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={_quote(value)}" for key, value in pairs.items())
 
 
-# How often a log line that may come at any rate is written at the most, in seconds.
-THROTTLED_EVERY = 10.0
+# The shortest interval between two log lines of one throttle, in seconds.
+THROTTLE_INTERVAL = 10.0
 
 
 class LogThrottle:
-    """Says of a line that could be written at any rate when it is due."""
+    """Limits how often a log line is written whose cause can occur at any rate."""
 
-    __slots__ = ("every", "last")
+    __slots__ = ("interval", "logged_at")
 
-    def __init__(self, every: float = THROTTLED_EVERY) -> None:
-        self.every = every
-        self.last = -every
+    def __init__(self, interval: float = THROTTLE_INTERVAL) -> None:
+        self.interval = interval
+        self.logged_at = -interval
 
-    def is_due(self, now: float) -> bool:
-        """Whether `every` seconds have passed since it last said so; `now` is of any steady clock."""
-        if now - self.last < self.every:
+    def should_log(self, now: float) -> bool:
+        """Return whether `interval` seconds have passed since this last returned True.
+
+        `now` is the time in seconds on a monotonic clock, the same one at each call.
+        """
+        if now - self.logged_at < self.interval:
             return False
-        self.last = now
+        self.logged_at = now
         return True
 
 
-def set_up(level: str) -> None:
-    """Log to standard error."""
+def configure_logging(level: str) -> None:
+    """Write log lines of this level and above to standard error."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level.upper(), handlers=[handler], force=True)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,19 +1,21 @@
-"""Log lines that could come at any rate."""
+"""The throttle of log lines whose cause can occur at any rate."""
 
 from __future__ import annotations
 
 import unittest
 
-from coraldeal.logs import THROTTLED_EVERY, LogThrottle
+from coraldeal.logs import THROTTLE_INTERVAL, LogThrottle
 
 
-class Throttle(unittest.TestCase):
-    def test_the_first_line_is_due_and_the_next_only_after_its_time(self) -> None:
+class LogThrottleCase(unittest.TestCase):
+    def test_first_line_is_logged_and_the_next_only_after_the_interval(self) -> None:
         throttle = LogThrottle()
-        due = [
-            now for now in (0.0, 1.0, THROTTLED_EVERY - 0.1, THROTTLED_EVERY, 19.9) if throttle.is_due(now)
+        logged = [
+            now
+            for now in (0.0, 1.0, THROTTLE_INTERVAL - 0.1, THROTTLE_INTERVAL, 19.9)
+            if throttle.should_log(now)
         ]
-        self.assertEqual(due, [0.0, THROTTLED_EVERY])
+        self.assertEqual(logged, [0.0, THROTTLE_INTERVAL])
 
 
 if __name__ == "__main__":
