--- a/coraldeal/benchlink/__init__.py
+++ b/coraldeal/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire before the decisions of coraldeal.balance."""
+"""The adapter that connects the decisions of coraldeal.balance to the operators' simulator."""
--- a/coraldeal/benchlink/__main__.py
+++ b/coraldeal/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m coraldeal.benchlink`: serve the bench on standard input and output."""
+"""`python -m coraldeal.benchlink`: serve the simulator on standard input and output."""
 
 import sys
 
--- a/example/server.py
+++ b/example/server.py
@@ -1,4 +1,4 @@
-"""Toy servers: `python example/server.py 9001 9002` listens on these ports of the loopback address."""
+"""Example servers: `python example/server.py 9001 9002` listens on these ports of the loopback address."""
 
 import asyncio
 import contextlib
@@ -17,7 +17,7 @@
     runner = web.AppRunner(app)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port).start()
-    print(f"toy server on 127.0.0.1:{port}", flush=True)
+    print(f"example server on 127.0.0.1:{port}", flush=True)
 
 
 async def main() -> None:
