--- a/tests/test_stepped_clocks.py
+++ b/tests/test_stepped_clocks.py
@@ -1,4 +1,8 @@
-"""Slow start on a real process whose wall clock is stepped: before the start, and while it runs."""
+"""Slow start at a real process whose wall clock is stepped, before its start or while it runs.
+
+The server list gives the start of a server in Unix time. Guards against a node that takes a new server for
+warm, or for one that starts only in the future, because its own wall clock is an hour off.
+"""
 
 from __future__ import annotations
 
@@ -15,56 +19,63 @@
 from tests.standins import CHUNKED_HEAD, Caller, Seen, StandIn, answer, chunked, entry, server_list, until
 
 HOUR = 3600.0
-# Requests a second, and the rules that say what a server in slow start bears.
+# Requests per second, and the rules for a server in slow start.
 RATE = 200
-MULTIPLE, COLD_FROM, WARM_AFTER = 2.0, 0.25, 8.0
+MULTIPLE, COLD_CAPACITY, WARM_UP = 2.0, 0.25, 8.0
 RULES = {
     "ask_every_ns": 10**9,
-    "cold_from": COLD_FROM,
+    "cold_from": COLD_CAPACITY,
     "fall_multiple": MULTIPLE,
     "fall_ns": 10**9,
-    "warm_after_ns": int(WARM_AFTER * 1e9),
+    "warm_after_ns": int(WARM_UP * 1e9),
 }
-# Servers once the new one has joined.
+# The number of servers once the new one has joined.
 SERVERS = 3
 
 
-def budget() -> float:
-    """Calls that a server in slow start bears in its first second, when the others carry the usual."""
-    calls = MULTIPLE * COLD_FROM * RATE / SERVERS
-    return calls + 2 * math.sqrt(calls) + 2
+def max_first_second() -> float:
+    """Return how many requests a server in slow start may get in its first second.
+
+    Its limit at an even load of all servers, plus two standard deviations and two requests for chance.
+    """
+    requests = MULTIPLE * COLD_CAPACITY * RATE / SERVERS
+    return requests + 2 * math.sqrt(requests) + 2
+
 
+class JoinRun:
+    """A run of one node with two servers and a third that joins.
 
-class Joined:
-    """One node, two servers, and a third that joins."""
+    `at_start` and `later` are the steps of the node's wall clock in seconds, before and from the join on.
+    """
 
     def __init__(self, test: unittest.IsolatedAsyncioTestCase, at_start: float, later: float) -> None:
         self.test = test
         self.steps = at_start, later
-        # When each request came to the server that joins, and to any; from the list's telling on.
-        self.got: list[float] = []
-        self.all: list[float] = []
+        # When each request arrived at the joining server, and at any server, in seconds since the list with
+        # the joining server was sent.
+        self.joined_times: list[float] = []
+        self.all_times: list[float] = []
 
-    async def play(self, joins_after: float, seconds: float) -> None:
+    async def run(self, joins_after: float, seconds: float) -> None:
         test, watches = self.test, []
 
-        async def list_of_servers(seen: Seen, reader: Any, writer: Any) -> None:
+        async def serve_list(seen: Seen, reader: Any, writer: Any) -> None:
             writer.write(CHUNKED_HEAD + chunked(json.dumps(server_list(1, False)).encode() + b"\n"))
             watches.append(writer)
             while not writer.is_closing():
                 await asyncio.sleep(2.0)
                 writer.write(chunked(b"\n"))
 
-        async def note(seen: Seen, reader: Any, writer: Any) -> None:
-            self.all.append(time.monotonic() - told_at)
+        async def record(seen: Seen, reader: Any, writer: Any) -> None:
+            self.all_times.append(time.monotonic() - listed_at)
             writer.write(answer())
 
-        async def note_new(seen: Seen, reader: Any, writer: Any) -> None:
-            self.got.append(time.monotonic() - told_at)
-            await note(seen, reader, writer)
+        async def record_joined(seen: Seen, reader: Any, writer: Any) -> None:
+            self.joined_times.append(time.monotonic() - listed_at)
+            await record(seen, reader, writer)
 
-        told_at = math.inf
-        stand_ins = [StandIn(note), StandIn(note), StandIn(note_new), StandIn(list_of_servers)]
+        listed_at = math.inf
+        stand_ins = [StandIn(record), StandIn(record), StandIn(record_joined), StandIn(serve_list)]
         for stand_in in stand_ins:
             await stand_in.start()
             test.addCleanup(stand_in.stop)
@@ -76,28 +87,28 @@
         known = server_list(1, True, *[entry(f"s{i}", one.address) for i, one in enumerate(old)])
         process = NodeProcess(known, discovery.address, rules=RULES, environment=shim)
         node = await test.enterAsyncContext(process)
-        asking = asyncio.create_task(self.ask(node))
-        test.addCleanup(asking.cancel)
+        requests = asyncio.create_task(self.send_requests(node))
+        test.addCleanup(requests.cancel)
         await until(lambda: len(watches) == 1, 10.0)
         await asyncio.sleep(joins_after)
         step.write_text(str(self.steps[1]))
         joins = {**entry("new", new.address), "startedAtMs": time.time_ns() // 1_000_000}
-        told_at = time.monotonic()
+        listed_at = time.monotonic()
         watches[0].write(chunked(json.dumps(server_list(2, False, joins)).encode() + b"\n"))
         await asyncio.sleep(seconds)
 
-    async def ask(self, node: NodeProcess) -> None:
+    async def send_requests(self, node: NodeProcess) -> None:
         callers = [await node.caller() for _ in range(20)]
-        await asyncio.gather(*(self.ask_on(caller) for caller in callers))
+        await asyncio.gather(*(self.send_on(caller) for caller in callers))
 
-    async def ask_on(self, caller: Caller) -> None:
+    async def send_on(self, caller: Caller) -> None:
         while True:
             await caller.ask("read")
             await asyncio.sleep(20 / RATE)
 
 
-class SteppedClocks(unittest.IsolatedAsyncioTestCase):
-    async def test_a_server_that_joins_is_neither_warm_early_nor_unused(self) -> None:
+class SteppedClockCase(unittest.IsolatedAsyncioTestCase):
+    async def test_joining_server_gets_slow_start_and_then_its_share_whatever_the_wall_clock(self) -> None:
         cases = {
             "right": (0.0, 0.0),
             "behind from the start": (-HOUR, -HOUR),
@@ -105,12 +116,12 @@
             "stepped back as it joins": (0.0, -HOUR),
             "stepped ahead as it joins": (0.0, HOUR),
         }
-        plays = [Joined(self, *steps) for steps in cases.values()]
-        await asyncio.gather(*(play.play(2.0, WARM_AFTER + 3.0) for play in plays))
-        for name, play in zip(cases, plays, strict=True):
+        runs = [JoinRun(self, *steps) for steps in cases.values()]
+        await asyncio.gather(*(run.run(2.0, WARM_UP + 3.0) for run in runs))
+        for name, run in zip(cases, runs, strict=True):
             with self.subTest(name):
-                self.assertLessEqual(sum(at < 1.0 for at in play.got), budget())
-                # Warm, it carries its part: half of an even one at the least.
-                warm = sum(at > WARM_AFTER + 1.0 for at in play.got)
-                everything = sum(at > WARM_AFTER + 1.0 for at in play.all)
-                self.assertGreater(warm, everything / SERVERS / 2)
+                self.assertLessEqual(sum(at < 1.0 for at in run.joined_times), max_first_second())
+                # Once warm, it gets its share: at least half of an even one.
+                joined = sum(at > WARM_UP + 1.0 for at in run.joined_times)
+                total = sum(at > WARM_UP + 1.0 for at in run.all_times)
+                self.assertGreater(joined, total / SERVERS / 2)
