--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -124,7 +124,7 @@
         good, bad = await self.start_stand_in(), await self.start_stand_in(hang_up)
         running = await self.start(good, bad)
         caller = await running.caller()
-        statuses = [(await caller.ask(name))[0] for name in ("read", "write", "low") * 8]
+        statuses = [(await caller.ask(class_name))[0] for class_name in ("read", "write", "low") * 8]
         caller.raw(b"GET /read/x HTTP/1.1\r\nHost: n\r\n\r\n")
         statuses.append(await caller.status())
         figures = await self.figures()
