--- a/coraldeal/__main__.py
+++ b/coraldeal/__main__.py
@@ -1,5 +1,5 @@
 """The command line: `coraldeal serve` runs a node, `coraldeal relay` passes the server list on to many nodes,
-and `coraldeal rig` runs experiments with simulated clients and servers.
+and `coraldeal rig` runs experiments between stand-in clients and servers.
 """
 
 from __future__ import annotations
@@ -160,7 +160,7 @@
         ("relay", relay, "pass the server list on to many nodes until SIGTERM"),
         ("check", check, "read a configuration and print what it means"),
         ("version", version, "print the version"),
-        ("rig", version, "experiments with simulated clients and servers: coraldeal rig --help"),
+        ("rig", version, "experiments between stand-in clients and servers: coraldeal rig --help"),
     ):
         command = commands.add_parser(name, help=text)
         command.set_defaults(function=function)
--- a/coraldeal/benchlink/link.py
+++ b/coraldeal/benchlink/link.py
@@ -38,47 +38,47 @@
 
 
 class Node:
-    """One node: the `Host` of its balancer, which appends a line to `out` for each action."""
+    """One node: the `Host` of its balancer, which appends a line to `actions` for each action."""
 
-    __slots__ = ("balancer", "name", "now", "out")
+    __slots__ = ("actions", "balancer", "name", "now")
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.now = 0
-        self.out: list[str] = []
+        self.actions: list[str] = []
         self.balancer: Balancer | None = None
 
     def send(self, inquiry: int, server: str, timeout_us: int) -> None:
         """Append the action `dispatch`."""
-        self.out.append(f"dispatch\t{inquiry}\t{server}\t{timeout_us * 1000}")
+        self.actions.append(f"dispatch\t{inquiry}\t{server}\t{timeout_us * 1000}")
 
     def reject(self, inquiry: int, retry_after_us: int) -> None:
         """Append the action `decline`."""
-        self.out.append(f"decline\t{inquiry}\t{retry_after_us * 1000}")
+        self.actions.append(f"decline\t{inquiry}\t{retry_after_us * 1000}")
 
     def fail(self, inquiry: int) -> None:
         """Append the action `error`."""
-        self.out.append(f"error\t{inquiry}")
+        self.actions.append(f"error\t{inquiry}")
 
     def cancel(self, inquiry: int, attempt: int) -> None:
         """Append the action `withdraw`."""
-        self.out.append(f"withdraw\t{inquiry}\t{attempt}")
+        self.actions.append(f"withdraw\t{inquiry}\t{attempt}")
 
     def send_to_peer(self, peer: int, message: PeerMessage) -> None:
         """Append the action `share`."""
-        self.out.append(f"share\t{peer}\t{pack(message).hex()}")
+        self.actions.append(f"share\t{peer}\t{pack(message).hex()}")
 
     def wake(self, token: str, after_us: int) -> None:
         """Append the action `schedule`."""
-        self.out.append(f"schedule\t{token}\t{after_us * 1000}")
+        self.actions.append(f"schedule\t{token}\t{after_us * 1000}")
 
     def follow_list(self) -> None:
         """Append the action `stream_changes`."""
-        self.out.append("stream_changes\t1")
+        self.actions.append("stream_changes\t1")
 
     def log(self, text: str) -> None:
         """Append the action `journal_line`."""
-        self.out.append(f"journal_line\t{text}")
+        self.actions.append(f"journal_line\t{text}")
 
 
 class Adapter:
@@ -134,10 +134,10 @@
 
     def _flush_node(self) -> None:
         node = self.node
-        if node is not None and node.out:
+        if node is not None and node.actions:
             self.reply.append(f"by\t{node.name}")
-            self.reply += node.out
-            node.out.clear()
+            self.reply += node.actions
+            node.actions.clear()
 
     def _split_fields(self, text: str, count: int) -> list[str]:
         fields = text.split("\t")
@@ -151,7 +151,7 @@
         return self.node.balancer
 
     def context(self, text: str) -> None:
-        """Make this node the current one: the next events are its own. Create it if it is new."""
+        """Switch to a node, and create it if it is new. The events that follow are for it."""
         self._flush_node()
         (name,) = self._split_fields(text, 1)
         int(name)
@@ -174,7 +174,7 @@
         if self.node is None:
             raise WireError("'destroy' before 'context'")
         self.node.balancer = None
-        self.node.out.clear()
+        self.node.actions.clear()
 
     def define_list(self, text: str) -> None:
         """Read a server list, one `row` line for each server, to be named by later events."""
--- a/coraldeal/handover/link.py
+++ b/coraldeal/handover/link.py
@@ -31,7 +31,7 @@
 MAX_SOCKET_PATH = 100
 
 
-class Side(Host, Protocol):
+class HandoverHost(Host, Protocol):
     """This process, as the handover link calls it."""
 
     def export_state(self) -> dict[str, Any]:
@@ -50,9 +50,9 @@
 class HandoverLink:
     """This process's connections to its predecessor and its successors."""
 
-    def __init__(self, side: Side, folder: str, node: str) -> None:
-        self.side = side
-        self.ownership = Ownership(side)
+    def __init__(self, host: HandoverHost, folder: str, node: str) -> None:
+        self.host = host
+        self.ownership = Ownership(host)
         self.path = Path(folder) / f"coraldeal-{crc32(node.encode()):08x}.sock"
         # The socket at `path` that successors connect to.
         self.listening: socket.socket | None = None
@@ -171,7 +171,7 @@
             return
         try:
             connection.setblocking(False)
-            socket.send_fds(connection, [b"+"], [self.side.descriptor()])
+            socket.send_fds(connection, [b"+"], [self.host.descriptor()])
         except OSError:
             connection.close()
             return
@@ -184,7 +184,7 @@
         log.info("a newcomer came")
         try:
             # Sent after the change of ownership, so that the state holds limits that are already shared.
-            self._send(writer, {"format": FORMAT, "state": self.side.export_state()})
+            self._send(writer, {"format": FORMAT, "state": self.host.export_state()})
             await self._read_messages(reader, writer)
         finally:
             # Also after an error or a cancellation: this process must not keep only a share of the limits.
@@ -226,9 +226,9 @@
     def _handle_message(self, message: dict[str, Any], successor: asyncio.StreamWriter | None) -> None:
         call = message["call"]
         if call == "leave-out":
-            self.side.maintenance_started(str(message["server"]))
+            self.host.maintenance_started(str(message["server"]))
         elif call == "put-back":
-            self.side.maintenance_ended(str(message["server"]))
+            self.host.maintenance_ended(str(message["server"]))
         elif call == "serves" and successor is not None and not self.successors[successor]:
             self.successors[successor] = True
             self.ownership.successor_serves()
