--- a/coraldeal/handover/link.py
+++ b/coraldeal/handover/link.py
@@ -1,4 +1,4 @@
-"""The Unix socket over which two processes of one node do a handover, and the lines they exchange.
+"""The Unix socket through which a process of a node takes over from its predecessor, and its messages.
 
 The predecessor sends one byte with its listening descriptor, then one line with the state that the successor
 starts from. After that each side sends lines of its own: JSON objects whose `call` names the message.
--- a/coraldeal/net/admin_interface.py
+++ b/coraldeal/net/admin_interface.py
@@ -31,11 +31,11 @@
         # Listed servers that aren't counted here are in maintenance, draining or ejected.
         now = node.host.now
         usable_servers = sum(server.ejected_until <= now for server in balancer.servers.values())
-        carrier = node.host.carrier
+        peer_transport = node.host.carrier
         message_counts = {}
-        if carrier is not None:
-            passed_over = carrier.unreadable + carrier.unknown
-            message_counts = {"notes_passed_over": passed_over, "notes_unsent": carrier.unsent}
+        if peer_transport is not None:
+            ignored = peer_transport.unreadable + peer_transport.unknown
+            message_counts = {"notes_passed_over": ignored, "notes_unsent": peer_transport.unsent}
         listener = node.callers.listener
         shortages = 0 if listener is None else listener.shortages
         discovery = node.discovery
--- a/coraldeal/operator.py
+++ b/coraldeal/operator.py
@@ -1,7 +1,7 @@
 """The operator's file: an optional TOML file with one table for each subsystem, all off by default.
 
 An error names the faulty key: `connections.risk: 2 is not between 0 and 1`. The fields of the tables' classes
-are the keys of the file. Imported only where the command line names such a file.
+are the keys of the file. It is read only where the command line names it.
 """
 
 from __future__ import annotations
