--- a/coraldeal/net/accepting.py
+++ b/coraldeal/net/accepting.py
@@ -97,7 +97,7 @@
 
     def _rest(self, error: OSError) -> None:
         self.shortages += 1
-        if self.throttle.is_due(self.loop.time()):
+        if self.throttle.should_log(self.loop.time()):
             pairs = {"why": error, "times": self.shortages, "pause_ms": int(self.pause * 1000)}
             log.warning("no connection can be accepted", extra={"pairs": pairs})
         self.on_shortage()
--- a/coraldeal/net/callers.py
+++ b/coraldeal/net/callers.py
@@ -404,7 +404,7 @@
     def _turned_away(self, status: int) -> None:
         """Count, and tell of it now and then."""
         self.away[status] = self.away.get(status, 0) + 1
-        if self.throttle.is_due(asyncio.get_running_loop().time()):
+        if self.throttle.should_log(asyncio.get_running_loop().time()):
             pairs = {str(known): count for known, count in sorted(self.away.items())}
             log.warning("requests turned away unread", extra={"pairs": pairs})
             self.away.clear()
--- a/coraldeal/net/node.py
+++ b/coraldeal/net/node.py
@@ -15,7 +15,7 @@
 from zlib import crc32
 
 from coraldeal.balance import Balancer
-from coraldeal.config import NodeConfig, SettingsError, lacking
+from coraldeal.config import NodeConfig, SettingsError, find_missing_key
 from coraldeal.interface import Condition, Effect, Entry, ListKind, ServerId, Settings
 from coraldeal.net.callers import ACCEPT_AT_ONCE, Callers
 from coraldeal.net.discovery import Discovery
@@ -27,9 +27,9 @@
 from coraldeal.starts import Starts
 
 if TYPE_CHECKING:
-    from coraldeal.admin.listener import Door
+    from coraldeal.admin.listener import AdminListener
     from coraldeal.connections.ages import ConnectionAges
-    from coraldeal.net.succession import Succession
+    from coraldeal.net.handover import NodeHandover
     from coraldeal.operator import OperatorFile
 
 log = logging.getLogger(__name__)
@@ -133,8 +133,8 @@
         self.rewatch: asyncio.TimerHandle | None = None
         # Whether a list was ever told, as of old, by the process before or by discovery.
         self.has_list = False
-        self.door: Door | None = None
-        self.succession: Succession | None = None
+        self.door: AdminListener | None = None
+        self.succession: NodeHandover | None = None
 
     def _connections(self, own: OperatorFile | None) -> tuple[ConnectionAges | None, float]:
         """What the operator's own file asks of connections to servers."""
@@ -157,8 +157,8 @@
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         # What came in the first moments was kept waiting (`serve`) and comes now.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGTERM, signal.SIGHUP))
-        if self.config.known is not None:
-            known = _read_list(self.config.known)
+        if self.config.known_list is not None:
+            known = _read_list(self.config.known_list)
             self.discovery.version = known.version
             self.take_list(known, ListKind.REMEMBERED)
         if not self.config.settings.list_is_pulled:
@@ -177,7 +177,7 @@
         gc.freeze()
         self._enter(Phase.READY)
         if self.succession is not None:
-            self.succession.link.serve()
+            self.succession.link.start_serving()
         await self.ending.wait()
         await self._drain()
 
@@ -187,16 +187,16 @@
         if operator is None:
             await self.callers.listen(self.config.host, self.config.port)
             return
-        from coraldeal.net.desk import open_door
+        from coraldeal.net.admin_interface import open_admin_listener
 
         if folder := os.environ.get("TMPDIR"):
-            from coraldeal.net.succession import Succession
+            from coraldeal.net.handover import NodeHandover
 
-            self.succession = Succession(self, folder)
-            await self.succession.begin()
+            self.succession = NodeHandover(self, folder)
+            await self.succession.start()
         else:
             await self.callers.listen(self.config.host, self.config.port)
-        self.door = await open_door(self, operator)
+        self.door = await open_admin_listener(self, operator)
 
     def reload(self) -> None:
         """SIGHUP: go by the configuration as it stands now; one that cannot be used changes nothing."""
@@ -205,7 +205,7 @@
         old = self.config
         try:
             new = self.read_anew()
-            if lacks := lacking(new.given, old.given):
+            if lacks := find_missing_key(new.raw_values, old.raw_values):
                 raise SettingsError(f"setting {lacks} is missing, and the one before had it")
         except Exception as error:
             # Whatever is wrong with a file, the node goes on by the one that it has.
@@ -246,14 +246,14 @@
             # A process that takes over binds the same address.
             self.host.carrier.close()
         if self.succession is not None:
-            self.succession.link.terms.told_to_end()
+            self.succession.link.ownership.shutdown_started()
         tracks = self.config.settings.request_classes
         longest = max((track.deadline_us for track in tracks), default=0)
         expected = max((track.latency_target_us for track in tracks), default=0)
         # No later than this the platform may kill.
         end = clock() + min(longest, int(END_PATIENCE * 1e6)) + int(END_SLACK * 1e6)
         self.inquiries.end_by(end)
-        if self.succession is not None and self.succession.link.terms.yielded:
+        if self.succession is not None and self.succession.link.ownership.successor_accepts:
             # A newcomer takes all who connect: each answer sends its caller there.
             self.callers.closing = True
         else:
--- a/coraldeal/net/servers.py
+++ b/coraldeal/net/servers.py
@@ -515,7 +515,7 @@
 
     def _tell_own_failure(self, error: OSError) -> None:
         self.own_failures += 1
-        if self.own_failure_throttle.is_due(self.loop.time()):
+        if self.own_failure_throttle.should_log(self.loop.time()):
             pairs = {"why": error, "times": self.own_failures}
             log.warning("no connection can be made from here", extra={"pairs": pairs})
 
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -18,7 +18,7 @@
 from zlib import crc32
 
 from coraldeal.balance import Balancer
-from coraldeal.config import NodeConfig, node_config
+from coraldeal.config import NodeConfig, parse_node_config
 from coraldeal.interface import Condition, Entry, InquiryId, ListKind, PeerMessage, ServerId
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.figures import Figures
@@ -196,7 +196,7 @@
             all_there.set()
 
     plant = job.plant if job.plant is not None and job.plant.kind == "keep-gone" else None
-    one = node_config(settings("hollow", "", 0, 1, "127.0.0.1:1"), {})
+    one = parse_node_config(settings("hollow", "", 0, 1, "127.0.0.1:1"), {})
     nodes = []
     for node in job.nodes:
         seed = crc32(f"{job.seed} hollow {node.number}".encode())
--- a/tests/rig/test_scale.py
+++ b/tests/rig/test_scale.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from coraldeal.config import node_config
+from coraldeal.config import parse_node_config
 from coraldeal.rig import clock
 from coraldeal.rig.experiment import ExperimentError
 from coraldeal.rig.nodes import ROOT
@@ -459,7 +459,7 @@
     async def test_a_hollow_node(self) -> None:
         """What is told is in its module and its book; of a whole list only what it did not hold so."""
         address = f"127.0.0.1:{self.source.doors[0].port}"
-        config = node_config(settings("hollow", "z", 0, 1, address), {})
+        config = parse_node_config(settings("hollow", "z", 0, 1, address), {})
         there = asyncio.Event()
         node = Hollow(HollowNode(0, 0, "z", [address], ["a", "b, c"]), config, 0, "", there.set)
         node.discovery.follow()
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -10,7 +10,7 @@
 from typing import Any
 from unittest import mock
 
-from coraldeal.config import NodeConfig, node_config
+from coraldeal.config import NodeConfig, parse_node_config
 from coraldeal.net.node import Node
 
 SETTINGS: dict[str, Any] = {
@@ -198,7 +198,7 @@
         "seed": "7",
         "settings": settings,
     }
-    return node_config({**told, "limits": {"sockets": sockets}, "peers": peers}, {})
+    return parse_node_config({**told, "limits": {"sockets": sockets}, "peers": peers}, {})
 
 
 class RunningNode:
--- a/tests/test_accepting.py
+++ b/tests/test_accepting.py
@@ -10,7 +10,7 @@
 from typing import Any
 from unittest import mock
 
-from coraldeal.admin.listener import Door
+from coraldeal.admin.listener import AdminListener
 from coraldeal.net.accepting import PAUSE_LEAST, Acceptor
 from coraldeal.net.listening import SHORTAGES, open_listening
 from tests.standins import Caller, NodeCase, RunningNode, StandIn, answer, until
@@ -156,11 +156,11 @@
             self.assertEqual((await asked)[0], 200)
 
     async def test_the_operators_door_answers_while_accepts_fail(self) -> None:
-        door = Door(mock.Mock(can_serve=lambda: True))
+        door = AdminListener(mock.Mock(can_serve=lambda: True))
         await door.open("127.0.0.1", 0)
         self.addCleanup(door.close)
-        assert door.listener is not None
-        port = door.listener.sockets[0].getsockname()[1]
+        assert door.acceptor is not None
+        port = door.acceptor.sockets[0].getsockname()[1]
         with FailingAccepts(port, lambda number: number < 4, errno.ENFILE):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
             self.addCleanup(writer.close)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -18,7 +18,7 @@
 from coraldeal.net.servers import Servers
 from coraldeal.net.unread import has_unread
 from coraldeal.net.wire import read_list
-from coraldeal.operator import OperatorFile, read_operator
+from coraldeal.operator import OperatorFile, read_operator_file
 from tests.standins import Seen, StandIn, answer, entry, server_list, until
 
 
@@ -108,12 +108,12 @@
         ):
             path.write_text(text)
             with self.subTest(text), self.assertRaises(SettingsError) as caught:
-                read_operator(str(path))
+                read_operator_file(str(path))
             self.assertIn(wanted, str(caught.exception))
         path.write_text("")
-        self.assertEqual(read_operator(str(path)), OperatorFile())
+        self.assertEqual(read_operator_file(str(path)), OperatorFile())
         shipped = Path(__file__).parent.parent / "deploy" / "coraldeal.toml"
-        self.assertEqual(read_operator(str(shipped)), OperatorFile())
+        self.assertEqual(read_operator_file(str(shipped)), OperatorFile())
 
 
 class OnSockets(unittest.IsolatedAsyncioTestCase):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -19,7 +19,7 @@
 from typing import Any
 from unittest import mock
 
-from coraldeal.admin.listener import Door
+from coraldeal.admin.listener import AdminListener
 from coraldeal.balance import Balancer
 from coraldeal.interface import Condition, Entry, Outcome
 from coraldeal.net import callers as callers_module
@@ -875,11 +875,11 @@
             await running.caller()
 
     async def test_no_call_at_the_operators_door_gives_way_unread(self) -> None:
-        door = Door(mock.Mock(can_serve=lambda: True))
+        door = AdminListener(mock.Mock(can_serve=lambda: True))
         await door.open("127.0.0.1", 0)
         self.addCleanup(door.close)
-        assert door.listener is not None
-        port = door.listener.sockets[0].getsockname()[1]
+        assert door.acceptor is not None
+        port = door.acceptor.sockets[0].getsockname()[1]
         # All in the system's queue at once, more than are kept.
         calls = [socket.create_connection(("127.0.0.1", port)) for _ in range(40)]
         for near in calls:
@@ -945,11 +945,11 @@
         # Both come at the first line of `serve`, as early as the test can force it.
         source = """
 import coraldeal.__main__ as program
-def read(args, env=None, real=program._read):
+def read(args, env=None, real=program._read_config):
     if not hasattr(read, "sent"):
         read.sent = [os.kill(os.getpid(), number) for number in (signal.SIGHUP, signal.SIGTERM)]
     return real(args, env or os.environ)
-program._read = read
+program._read_config = read
 sys.exit(main())
 """
         status, errors = await self.ended(self.start(source))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -20,7 +20,7 @@
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.node import Node
 from coraldeal.net.wire import ServerList, read_list
-from coraldeal.operator import ListsTable, OperatorFile, RelayTable, read_operator
+from coraldeal.operator import ListsTable, OperatorFile, RelayTable, read_operator_file
 from coraldeal.relay import link as link_module
 from coraldeal.relay import server as server_module
 from coraldeal.relay.server import Relay, parse_query
@@ -511,9 +511,11 @@
         ):
             path.write_text(text)
             with self.subTest(text), self.assertRaisesRegex(SettingsError, message):
-                read_operator(str(path))
+                read_operator_file(str(path))
         path.write_text('[relay]\nlisten = "127.0.0.1:0"\nsources = ["127.0.0.1:1"]\nfollowers = 5')
-        self.assertEqual(read_operator(str(path)).relay, RelayTable("127.0.0.1:0", ("127.0.0.1:1",), (), 5))
+        self.assertEqual(
+            read_operator_file(str(path)).relay, RelayTable("127.0.0.1:0", ("127.0.0.1:1",), (), 5)
+        )
         with self.assertRaisesRegex(SettingsError, "relay needs both"):
             asyncio.run(self.create_relay_without_table())
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from coraldeal.__main__ import main
-from coraldeal.config import SettingsError, node_config, read_node_config
+from coraldeal.config import SettingsError, parse_node_config, read_node_config
 from coraldeal.interface import Condition, Effect, Outcome
 from coraldeal.logs import KeyValueFormatter
 from coraldeal.net import wire
@@ -137,7 +137,9 @@
 class Configuration(unittest.TestCase):
     def read(self, env: dict[str, str] | None = None, **changes: Any) -> Any:
         values = {"listen": "127.0.0.1:80", "settings": SETTINGS, **changes}
-        return node_config({key: value for key, value in values.items() if value != "left out"}, env or {})
+        return parse_node_config(
+            {key: value for key, value in values.items() if value != "left out"}, env or {}
+        )
 
     def test_defaults(self) -> None:
         read = self.read()
@@ -226,5 +228,5 @@
         # What is not said to be repeatable is not repeated.
         effects = [track.effect for track in read.settings.request_classes]
         self.assertEqual(effects, [Effect.NOT_IDEMPOTENT, Effect.IDEMPOTENT])
-        known = wire.read_list(read.known, offset_us=0).servers
+        known = wire.read_list(read.known_list, offset_us=0).servers
         self.assertEqual([listed.address for listed in known], ["127.0.0.1:9001", "127.0.0.1:9002"])
