--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from coraldeal.balance import Balancer
-from coraldeal.config import NodeConfig, node_config
+from coraldeal.config import NodeConfig, parse_node_config
 from coraldeal.interface import Condition, Entry, InquiryId, ListKind, PeerMessage, ServerId
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.figures import Figures
--- a/tests/rig/test_scale.py
+++ b/tests/rig/test_scale.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import Any, ClassVar
 
-from coraldeal.config import node_config
+from coraldeal.config import parse_node_config
 from coraldeal.rig import clock
 from coraldeal.rig.experiment import ExperimentError
 from coraldeal.rig.nodes import ROOT
