--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -217,7 +217,7 @@
             all_have_lists.set()
 
     plant = job.plant if job.plant is not None and job.plant.kind == "keep-gone" else None
-    base_config = node_config(node_settings("hollow", "", 0, 1, "127.0.0.1:1"), {})
+    base_config = parse_node_config(node_settings("hollow", "", 0, 1, "127.0.0.1:1"), {})
     nodes = []
     for node_job in job.nodes:
         seed = crc32(f"{job.seed} hollow {node_job.number}".encode())
--- a/tests/rig/test_scale.py
+++ b/tests/rig/test_scale.py
@@ -499,7 +499,7 @@
 
     async def test_hollow_node_applies_and_records_changes_and_of_a_full_list_what_is_new(self) -> None:
         address = f"127.0.0.1:{self.source.endpoints[0].port}"
-        config = node_config(node_settings("hollow", "z", 0, 1, address), {})
+        config = parse_node_config(node_settings("hollow", "z", 0, 1, address), {})
         has_list = asyncio.Event()
         node = HollowNode(HollowNodeJob(0, 0, "z", [address], ["a", "b, c"]), config, 0, "", has_list.set)
         node.discovery.follow()
