--- a/coraldeal/rig/__init__.py
+++ b/coraldeal/rig/__init__.py
@@ -1,5 +1,6 @@
-"""The rig: stand-ins for callers, servers, tiers, zones and the list, troubles on a timeline, experiments.
+"""The rig: a test bench that runs nodes between stand-in clients and servers and injects faults.
 
-The product never imports it. It uses the product as a user would, as a process on sockets. It listens and
-sends on loopback only, is bounded in count and time, and ends what it started.
+It provides stand-ins for callers, servers, tiers, zones and the list of servers, and runs experiments. The
+product never imports it. The rig uses the product as an operator does: as a process with sockets. It listens
+and sends on loopback only, limits its number of processes and its running time, and ends what it started.
 """
