--- a/coraldeal/rig/ready.py
+++ b/coraldeal/rig/ready.py
@@ -1,4 +1,4 @@
-"""Whether a node takes callers, asked as the layer in front of it asks."""
+"""Readiness check of a node, made as the load-balancing layer in front of the node makes it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 async def is_ready(port: int) -> bool:
-    """`GET /ready` on a connection of its own; raises OSError where none comes up."""
+    """Send `GET /ready` on a new connection: whether the status is 200. Raises OSError."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(b"GET /ready HTTP/1.1\r\nHost: app.svc\r\nConnection: close\r\n\r\n")
