--- a/coraldeal/rig/results.py
+++ b/coraldeal/rig/results.py
@@ -1,7 +1,7 @@
-"""Figures of a run from its books: a summary, a time series, histograms, and the rules' verdict.
+"""Computes the results of a run from its records: figures, a time series, histograms, and rule violations.
 
-Latencies count from the first intended time of an inquiry to the last byte of the answer that satisfied it,
-in whole microseconds, and are kept in HDR histograms of three digits.
+A latency counts from the first intended time of an inquiry to the last byte of its successful answer.
+Latencies are whole microseconds, recorded in HDR histograms with three significant digits.
 """
 
 from __future__ import annotations
@@ -14,129 +14,133 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from coraldeal.rig.child import fate, place_of
+from coraldeal.rig.child import outcome_name, zone_and_group
 from coraldeal.rig.records import TryRecord
 from coraldeal.rig.rules import RULES, RuleChecker, Violation
-from coraldeal.rig.run import Played
+from coraldeal.rig.run import RunResult
 from coraldeal.rig.timeline import server_names
 
 SECOND = 1_000_000
+# Length of an interval of the time series, and the highest latency that a histogram records, in microseconds.
 BUCKET_US = SECOND // 2
-LATENCY_MOST = 120 * SECOND
+MAX_LATENCY_US = 120 * SECOND
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-# A process of the rig that used so much of a core, or a loop so late, may have been the bottleneck itself.
-BUSY = 0.85
-LATE_TOLD_US = 20_000
-# From what part on the machine was not this run's own.
-STOLEN = 0.25
-# Of the usual: from when on it is served again.
-AGAIN = 0.9
+# A process of the rig that used more than this fraction of a core, or an event loop of the rig that was later
+# than this, may have been the bottleneck itself: the result gets a warning.
+BUSY_CORE_FRACTION = 0.85
+LATE_WARNING_US = 20_000
+# Fraction of the machine's busy time taken by other guests above which the result gets a warning.
+STOLEN_WARNING_FRACTION = 0.25
+# The system has recovered once it serves this fraction of its baseline rate.
+RECOVERED_FRACTION = 0.9
 
 
 class Series(msgspec.Struct):
-    """Counts for each half second, by what happened in it."""
+    """Counts of events in each half second of a run."""
 
     bucket_s: float
     counts: dict[str, list[int]]
-    # Trips that reached each server.
+    # Attempts that reached each server.
     servers: dict[str, list[int]]
 
 
 class Summary(msgspec.Struct):
-    """All that is told of one run."""
+    """Results of one run, as written to summary.json."""
 
     variant: str
     repetition: int
     seed: int
+    # Whether the run ended as planned; false: it was interrupted.
     whole: bool
     figures: dict[str, float]
-    # Latency percentiles in milliseconds by track, `all` among them.
+    # Latency percentiles in milliseconds by request class, and for `all` together.
     latency_ms: dict[str, dict[str, float]]
-    # For each server: trips, served, errors, declined.
+    # For each server: its attempts (`trips`), and those with each result.
     servers: dict[str, dict[str, int]]
     nodes: dict[str, dict[str, float]]
-    # Troubles as played: seconds from the start, what, who.
+    # Injected faults and collapses of servers: seconds from the start, action, target.
     troubles: list[tuple[float, str, str]]
     violations: list[Violation]
-    # What makes these figures doubtful.
+    # Conditions that make the figures unreliable.
     warnings: list[str]
 
 
-def histogram() -> Any:
-    """Microseconds up to two minutes, three digits."""
-    return HdrHistogram(1, LATENCY_MOST, 3)
+def new_histogram() -> Any:
+    """Create a histogram for 1 us to 2 minutes with three significant digits."""
+    return HdrHistogram(1, MAX_LATENCY_US, 3)
 
 
 def percentiles(histogram: Any) -> dict[str, float]:
-    """In milliseconds; nothing where nothing was counted."""
+    """Return percentiles, maximum and mean in milliseconds; empty for an empty histogram."""
     if not histogram.get_total_count():
         return {}
-    told = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
-    return {**told, "max": histogram.get_max_value() / 1000, "mean": histogram.get_mean_value() / 1000}
+    values = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+    return {**values, "max": histogram.get_max_value() / 1000, "mean": histogram.get_mean_value() / 1000}
 
 
-class Counted:
-    """Reads a run's books once."""
+class SummaryBuilder:
+    """Computes the results of one run; inquiries count from the end of the settling time on."""
 
-    def __init__(self, played: Played, repetition: int) -> None:
-        self.played = played
+    def __init__(self, run: RunResult, repetition: int) -> None:
+        self.run = run
         self.repetition = repetition
-        self.experiment = played.experiment
-        self.start = played.start_us
-        self.from_us = played.start_us + int(self.experiment.settle_seconds * SECOND)
-        self.until_us = played.end_us
-        self.tracks = {track.name: track for track in self.experiment.load.tracks}
-        self.histograms: dict[str, Any] = {"all": histogram()}
+        self.experiment = run.experiment
+        self.start_us = run.start_us
+        self.from_us = run.start_us + int(self.experiment.settle_seconds * SECOND)
+        self.until_us = run.end_us
+        self.request_classes = {spec.name: spec for spec in self.experiment.load.tracks}
+        self.histograms: dict[str, Any] = {"all": new_histogram()}
         self.figures: dict[str, float] = {}
         self.warnings: list[str] = []
-        chains: dict[int, list[TryRecord]] = defaultdict(list)
-        for row in played.book.tries:
-            if row.layer == 0:
-                chains[row.inquiry].append(row)
-        self.chains = list(chains.values())
-
-    def summary(self) -> tuple[Summary, Series]:
-        """Both, with the rules checked where the experiment wants it."""
-        self._inquiries()
-        self._trips()
-        series = self._series()
-        self._outage(series)
-        self._costs()
+        # The tries of each inquiry to the first tier, in order.
+        inquiries: dict[int, list[TryRecord]] = defaultdict(list)
+        for record in run.records.tries:
+            if record.layer == 0:
+                inquiries[record.inquiry].append(record)
+        self.inquiries = list(inquiries.values())
+
+    def build(self) -> tuple[Summary, Series]:
+        """Return the summary and the time series; checks the rules unless the experiment skips them."""
+        self._add_inquiry_figures()
+        self._add_attempt_figures()
+        series = self._time_series()
+        self._add_recovery_figures(series)
+        self._add_resource_figures()
         violations: list[Violation] = []
         counts = dict.fromkeys(RULES, 0)
         if self.experiment.rules == "check":
-            judge = RuleChecker(self.experiment, self.played.book, self.played.marks, self.start)
-            violations = judge.check()
-            counts = judge.counts
+            checker = RuleChecker(self.experiment, self.run.records, self.run.node_events, self.start_us)
+            violations = checker.check()
+            counts = checker.counts
         self.figures.update(counts)
         self.figures["violations"] = sum(counts.values())
-        played = self.played
-        troubles = [(step.at_us / SECOND, step.what, step.who) for step in played.steps]
-        troubles += [
-            ((row.at_us - self.start) / SECOND, "fell", row.server)
-            for row in played.book.servers
-            if row.event == "fell"
+        run = self.run
+        faults = [(step.at_us / SECOND, step.action, step.target) for step in run.steps]
+        faults += [
+            ((record.at_us - self.start_us) / SECOND, "fell", record.server)
+            for record in run.records.servers
+            if record.event == "fell"
         ]
         summary = Summary(
-            variant=played.variant.name,
+            variant=run.variant.name,
             repetition=self.repetition,
-            seed=played.seed,
-            whole=played.whole,
+            seed=run.seed,
+            whole=run.is_complete,
             figures={name: round(value, 6) for name, value in self.figures.items()},
             latency_ms={name: percentiles(h) for name, h in self.histograms.items()},
-            servers=self._servers(),
+            servers=self._server_counts(),
             nodes={
                 name: {
-                    "cpu_s": round(f.cpu_s, 3),
-                    "rss_mb_first": round(f.rss_mb[0], 1) if f.rss_mb else 0.0,
-                    "rss_mb_last": round(f.rss_mb[-1], 1) if f.rss_mb else 0.0,
-                    "rss_mb_most": round(max(f.rss_mb, default=0.0), 1),
-                    "starts": f.starts,
-                    "crashes": f.crashes,
+                    "cpu_s": round(usage.cpu_s, 3),
+                    "rss_mb_first": round(usage.rss_mb[0], 1) if usage.rss_mb else 0.0,
+                    "rss_mb_last": round(usage.rss_mb[-1], 1) if usage.rss_mb else 0.0,
+                    "rss_mb_most": round(max(usage.rss_mb, default=0.0), 1),
+                    "starts": usage.starts,
+                    "crashes": usage.crashes,
                 }
-                for name, f in played.nodes.items()
+                for name, usage in run.nodes.items()
             },
-            troubles=troubles,
+            troubles=faults,
             violations=violations,
             warnings=self.warnings,
         )
@@ -144,36 +148,37 @@
 
     # Inquiries.
 
-    def _inquiries(self) -> None:
+    def _add_inquiry_figures(self) -> None:
         counts: Counter[str] = Counter()
         tries: Counter[str] = Counter()
-        asked_worth = got_worth = 0.0
-        by_track: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
-        for chain in self.chains:
-            first, last = chain[0], chain[-1]
+        offered_worth = earned_worth = 0.0
+        # For each request class: inquiries, and those with a successful answer.
+        class_counts: dict[str, list[float]] = defaultdict(lambda: [0.0, 0.0])
+        for inquiry in self.inquiries:
+            first, last = inquiry[0], inquiry[-1]
             if not self.from_us <= first.intended_us < self.until_us:
                 continue
-            track = self.tracks[first.request_class]
+            spec = self.request_classes[first.request_class]
             counts["asked"] += 1
-            asked_worth += track.payoff
-            by_track[first.request_class][0] += 1
-            for row in chain:
-                tries[fate(row.status)] += 1
+            offered_worth += spec.payoff
+            class_counts[first.request_class][0] += 1
+            for record in inquiry:
+                tries[outcome_name(record.status)] += 1
                 tries["all"] += 1
             if last.status == 200:
-                took = last.end_us - first.intended_us
+                latency_us = last.end_us - first.intended_us
                 counts["satisfied"] += 1
-                by_track[first.request_class][1] += 1
-                in_time = took <= track.expected_ms * 1000
-                counts["in_time"] += in_time
-                got_worth += track.payoff if in_time else track.late_payoff
-                value = max(1, min(took, LATENCY_MOST))
+                class_counts[first.request_class][1] += 1
+                is_in_time = latency_us <= spec.expected_ms * 1000
+                counts["in_time"] += is_in_time
+                earned_worth += spec.payoff if is_in_time else spec.late_payoff
+                value = max(1, min(latency_us, MAX_LATENCY_US))
                 self.histograms["all"].record_value(value)
                 if first.request_class not in self.histograms:
-                    self.histograms[first.request_class] = histogram()
+                    self.histograms[first.request_class] = new_histogram()
                 self.histograms[first.request_class].record_value(value)
             else:
-                counts["left" if last.failure == "left" else fate(last.status)] += 1
+                counts["left" if last.failure == "left" else outcome_name(last.status)] += 1
         asked = max(1, counts["asked"])
         seconds = max(1e-6, (self.until_us - self.from_us) / SECOND)
         figures = self.figures
@@ -184,146 +189,157 @@
             figures[f"{key}_part"] = counts[name] / asked
         figures["asked_per_s"] = counts["asked"] / seconds
         figures["satisfied_per_s"] = counts["satisfied"] / seconds
-        figures["worth"] = got_worth / asked_worth if asked_worth else 0.0
+        figures["worth"] = earned_worth / offered_worth if offered_worth else 0.0
         figures["tries_per_inquiry"] = tries["all"] / asked
         figures["tries_deferred"] = tries["deferred"]
         figures["tries_given_up"] = tries["given up"]
-        for name, (all_asked, well) in by_track.items():
-            figures[f"satisfied_part.{name}"] = well / all_asked
+        for name, (class_asked, class_satisfied) in class_counts.items():
+            figures[f"satisfied_part.{name}"] = class_satisfied / class_asked
         for name, latency in percentiles(self.histograms["all"]).items():
             figures[f"{name.replace('.', '_')}_ms"] = latency
 
-        # Those who met the end of a process: refused, cut off, or sent to one that never read it.
-        met = [row.failure for chain in self.chains for row in chain]
-        figures["met_end"] = sum(why in ("refused", "closed", "resent") for why in met)
-        doors = self.played.doors
-        if doors.took_us:
-            times = sorted(doors.took_us)
+        # Tries affected by the end of a node's process: the connection was refused or closed, or the request
+        # was sent to a process that never read it.
+        failures = [record.failure for inquiry in self.inquiries for record in inquiry]
+        figures["met_end"] = sum(failure in ("refused", "closed", "resent") for failure in failures)
+        admin_calls = self.run.admin_calls
+        if admin_calls.durations_us:
+            times = sorted(admin_calls.durations_us)
             figures["door_calls"] = len(times)
-            figures["door_bad"] = doors.bad
+            figures["door_bad"] = admin_calls.failures
             figures["door_p50_ms"] = times[len(times) // 2] / 1000
             figures["door_p99_ms"] = times[len(times) * 99 // 100] / 1000
             figures["door_worst_ms"] = times[-1] / 1000
-            figures["upgrades"] = doors.upgrades
+            figures["upgrades"] = admin_calls.upgrades
 
     # Servers.
 
-    def _trips(self) -> None:
-        book = self.played.book
-        rows = [row for row in book.attempts if self.from_us <= row.first_us < self.until_us]
-        front = [row for row in rows if row.layer == 0]
+    def _add_attempt_figures(self) -> None:
+        records = self.run.records
+        attempts = [record for record in records.attempts if self.from_us <= record.first_us < self.until_us]
+        first_tier = [attempt for attempt in attempts if attempt.layer == 0]
         figures = self.figures
-        figures["trips"] = len(front)
-        figures["trips_per_inquiry"] = len(front) / max(1.0, figures["asked"])
-        figures["declined_trips"] = sum(row.result == "declined" for row in rows)
-        ended = {row.id: row.end_us for row in book.tries}
-        work = wasted = 0
-        for row in rows:
-            if row.ran:
-                work += row.work_us
-                over = ended.get(row.id, 0)
-                if row.result not in ("served", "repeated") or (over and row.end_us > over):
-                    wasted += row.work_us
-        figures["wasted_work_part"] = wasted / work if work else 0.0
-        home = self._zones()
-        crossed = sum(home.get(row.server, row.zone) != row.zone for row in rows)
-        figures["crossing_part"] = crossed / max(1, len(rows))
-        figures["fell"] = sum(row.event == "fell" for row in book.servers)
+        figures["trips"] = len(first_tier)
+        figures["trips_per_inquiry"] = len(first_tier) / max(1.0, figures["asked"])
+        figures["declined_trips"] = sum(attempt.result == "declined" for attempt in attempts)
+        try_ends = {record.id: record.end_us for record in records.tries}
+        work_us = wasted_us = 0
+        for attempt in attempts:
+            if attempt.ran:
+                work_us += attempt.work_us
+                try_end_us = try_ends.get(attempt.id, 0)
+                if attempt.result not in ("served", "repeated") or (
+                    try_end_us and attempt.end_us > try_end_us
+                ):
+                    wasted_us += attempt.work_us
+        figures["wasted_work_part"] = wasted_us / work_us if work_us else 0.0
+        zones = self._server_zones()
+        crossings = sum(zones.get(attempt.server, attempt.zone) != attempt.zone for attempt in attempts)
+        figures["crossing_part"] = crossings / max(1, len(attempts))
+        figures["fell"] = sum(record.event == "fell" for record in records.servers)
         if len(self.experiment.world.tiers) > 1:
-            deeper = [row for row in rows if row.layer > 0]
+            deeper = [attempt for attempt in attempts if attempt.layer > 0]
             figures["deeper_trips"] = len(deeper)
-            late = [row for row in deeper if row.ran and row.result == "called_off"]
-            figures["deeper_called_off"] = len(late)
+            cancelled = [attempt for attempt in deeper if attempt.ran and attempt.result == "called_off"]
+            figures["deeper_called_off"] = len(cancelled)
 
-    def _zones(self) -> dict[str, str]:
+    def _server_zones(self) -> dict[str, str]:
         return {
-            name: place_of(self.experiment, layer, place)[0]
+            name: zone_and_group(self.experiment, layer, index)[0]
             for layer, names in enumerate(server_names(self.experiment))
-            for place, name in enumerate(names)
+            for index, name in enumerate(names)
         }
 
-    def _servers(self) -> dict[str, dict[str, int]]:
-        told: dict[str, Counter[str]] = {name: Counter() for name in self._zones()}
-        for row in self.played.book.attempts:
-            told[row.server]["trips"] += 1
-            told[row.server][row.result] += 1
-        return {name: dict(counts) for name, counts in told.items()}
+    def _server_counts(self) -> dict[str, dict[str, int]]:
+        servers: dict[str, Counter[str]] = {name: Counter() for name in self._server_zones()}
+        for attempt in self.run.records.attempts:
+            servers[attempt.server]["trips"] += 1
+            servers[attempt.server][attempt.result] += 1
+        return {name: dict(counts) for name, counts in servers.items()}
 
-    # Over time.
+    # Time series.
 
-    def _series(self) -> Series:
-        length = max(1, -(-(self.until_us - self.start) // BUCKET_US))
+    def _time_series(self) -> Series:
+        length = max(1, -(-(self.until_us - self.start_us) // BUCKET_US))
         names = ("offered", "satisfied", "deferred", "given up", "unanswered", "trips")
         counts = {name: [0] * length for name in names}
-        servers = {name: [0] * length for name in self._zones()}
+        servers = {name: [0] * length for name in self._server_zones()}
 
         def add(values: list[int], at_us: int) -> None:
-            place = (at_us - self.start) // BUCKET_US
-            if 0 <= place < length:
-                values[place] += 1
-
-        for row in self.played.book.tries:
-            if row.layer == 0:
-                add(counts["offered"], row.intended_us)
-                if row.end_us and row.failure not in ("left", "ended"):
-                    add(counts[fate(row.status)], row.end_us)
-        for attempt in self.played.book.attempts:
+            bucket = (at_us - self.start_us) // BUCKET_US
+            if 0 <= bucket < length:
+                values[bucket] += 1
+
+        for record in self.run.records.tries:
+            if record.layer == 0:
+                add(counts["offered"], record.intended_us)
+                if record.end_us and record.failure not in ("left", "ended"):
+                    add(counts[outcome_name(record.status)], record.end_us)
+        for attempt in self.run.records.attempts:
             if attempt.layer == 0:
                 add(counts["trips"], attempt.first_us)
             add(servers[attempt.server], attempt.first_us)
         return Series(BUCKET_US / SECOND, counts, servers)
 
-    def _outage(self, series: Series) -> None:
-        """The peak of offered load against the usual, and how long it took to be served again."""
-        steps = [step.at_us for step in self.played.steps]
+    def _add_recovery_figures(self, series: Series) -> None:
+        """Add the peak of attempts relative to the baseline, and the recovery time after the last fault.
+
+        The baseline is the median before the first fault. `again_s` is -1 if the rate never recovers.
+        """
+        step_times = [step.at_us for step in self.run.steps]
         settled = int(self.experiment.settle_seconds * SECOND) // BUCKET_US
-        first = min(steps) // BUCKET_US if steps else len(series.counts["trips"])
-        before = slice(settled, max(settled + 1, first))
-        usual = median(series.counts["trips"][before] or [0])
-        satisfied = median(series.counts["satisfied"][before] or [0])
+        first_fault = min(step_times) // BUCKET_US if step_times else len(series.counts["trips"])
+        before = slice(settled, max(settled + 1, first_fault))
+        baseline_attempts = median(series.counts["trips"][before] or [0])
+        baseline_satisfied = median(series.counts["satisfied"][before] or [0])
         figures = self.figures
-        figures["usual_trips_per_s"] = usual / series.bucket_s
+        figures["usual_trips_per_s"] = baseline_attempts / series.bucket_s
         after = series.counts["trips"][settled:]
-        figures["peak_offered"] = max(after, default=0) / usual if usual else 0.0
+        figures["peak_offered"] = max(after, default=0) / baseline_attempts if baseline_attempts else 0.0
         figures["again_s"] = -1.0
-        if not steps or not satisfied:
+        if not step_times or not baseline_satisfied:
             return
-        back = max(steps)
-        last = back // BUCKET_US
-        well = [value >= AGAIN * satisfied for value in series.counts["satisfied"]]
-        # Twice in a row: one half second may be good by chance.
-        for place, (one, two) in enumerate(pairwise(well)):
-            if place >= last and one and two:
-                figures["again_s"] = max(0.0, (place * BUCKET_US - back) / SECOND)
+        last_step_us = max(step_times)
+        last_bucket = last_step_us // BUCKET_US
+        recovered = [value >= RECOVERED_FRACTION * baseline_satisfied for value in series.counts["satisfied"]]
+        # Two intervals in a row: a single one may reach the rate by chance.
+        for bucket, (current, following) in enumerate(pairwise(recovered)):
+            if bucket >= last_bucket and current and following:
+                figures["again_s"] = max(0.0, (bucket * BUCKET_US - last_step_us) / SECOND)
                 break
 
-    # What it cost.
-
-    def _costs(self) -> None:
-        played, figures = self.played, self.figures
-        seconds = max(1e-6, (self.until_us - self.start) / SECOND)
-        cpu = sum(f.cpu_s for f in played.nodes.values())
-        answered = sum(1 for row in played.book.tries if row.layer == 0 and row.status)
-        figures["node_cpu_us_per_inquiry"] = cpu / max(1, answered) * SECOND if cpu else 0.0
-        figures["node_cpu_part"] = max((f.cpu_s / seconds for f in played.nodes.values()), default=0.0)
-        figures["node_rss_mb"] = max((max(f.rss_mb, default=0.0) for f in played.nodes.values()), default=0.0)
-        figures["crashes"] = sum(f.crashes for f in played.nodes.values())
-        busiest = max(played.rig_cpu, key=lambda name: played.rig_cpu[name])
-        figures["rig_cpu_part"] = played.rig_cpu[busiest] / seconds
-        lates = [row.late_us for row in played.book.late if row.at_us >= self.from_us]
-        figures["rig_late_ms"] = max(lates, default=0) / 1000
-        if figures["rig_cpu_part"] > BUSY:
-            part = figures["rig_cpu_part"]
-            self.warnings.append(f"the rig was the bottleneck itself: {busiest} used {part:.0%} of a core")
-        if max(lates, default=0) > LATE_TOLD_US:
+    # CPU and memory of nodes and rig.
+
+    def _add_resource_figures(self) -> None:
+        run, figures = self.run, self.figures
+        seconds = max(1e-6, (self.until_us - self.start_us) / SECOND)
+        cpu_s = sum(usage.cpu_s for usage in run.nodes.values())
+        answered = sum(1 for record in run.records.tries if record.layer == 0 and record.status)
+        figures["node_cpu_us_per_inquiry"] = cpu_s / max(1, answered) * SECOND if cpu_s else 0.0
+        figures["node_cpu_part"] = max((usage.cpu_s / seconds for usage in run.nodes.values()), default=0.0)
+        figures["node_rss_mb"] = max(
+            (max(usage.rss_mb, default=0.0) for usage in run.nodes.values()), default=0.0
+        )
+        figures["crashes"] = sum(usage.crashes for usage in run.nodes.values())
+        busiest = max(run.rig_cpu, key=lambda name: run.rig_cpu[name])
+        figures["rig_cpu_part"] = run.rig_cpu[busiest] / seconds
+        lateness_us = [record.late_us for record in run.records.late if record.at_us >= self.from_us]
+        figures["rig_late_ms"] = max(lateness_us, default=0) / 1000
+        if figures["rig_cpu_part"] > BUSY_CORE_FRACTION:
+            fraction = figures["rig_cpu_part"]
+            self.warnings.append(f"the rig may be the bottleneck: {busiest} used {fraction:.0%} of a core")
+        if max(lateness_us, default=0) > LATE_WARNING_US:
+            self.warnings.append(
+                f"event loops of the rig ran up to {max(lateness_us) / 1000:.0f} ms late, "
+                f"{len(lateness_us)} times: latencies include the delay"
+            )
+        figures["machine_stolen_part"] = run.stolen_fraction
+        if run.stolen_fraction > STOLEN_WARNING_FRACTION:
             self.warnings.append(
-                f"the rig ran up to {max(lates) / 1000:.0f} ms late, {len(lates)} times: latencies hold it"
+                f"other guests took {run.stolen_fraction:.0%} of the busy time of this machine"
             )
-        figures["machine_stolen_part"] = played.stolen
-        if played.stolen > STOLEN:
-            self.warnings.append(f"others took {played.stolen:.0%} of the busy time of this machine")
-        if not played.whole:
-            self.warnings.append("the run was cut short; figures are of what was measured until then")
-        for name, node in played.nodes.items():
-            if node.crashes:
-                self.warnings.append(f"{name} ended by itself, {node.crashes} times")
+        if not run.is_complete:
+            self.warnings.append("the run was interrupted: the figures cover the time until then")
+        for name, usage in run.nodes.items():
+            if usage.crashes:
+                self.warnings.append(f"{name} crashed {usage.crashes} times")
