--- a/coraldeal/rig/command.py
+++ b/coraldeal/rig/command.py
@@ -1,4 +1,4 @@
-"""`coraldeal rig ...`: run an experiment, compare results, draw a report, serve stand-ins, the demo."""
+"""The command `coraldeal rig`: runs experiments, compares results, writes reports, and serves stand-ins."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from coraldeal.rig.experiment import ExperimentError
 
 STATUSES = """
-exit status: 0 all claims hold; 1 one does not; 2 bad use (experiment, variant, port); 130 interrupted
+exit status: 0 all assertions hold; 1 one does not; 2 usage error (experiment, variant, port); 130 interrupted
 """
 EXAMPLES = f"""
 examples:
@@ -30,7 +30,7 @@
 
 
 def _value(text: str) -> tuple[str, Any]:
-    """KEY=VALUE; a value that is not JSON is text."""
+    """Parse KEY=VALUE; a value that is not JSON is taken as text."""
     key, equals, value = text.partition("=")
     if not equals or not key:
         raise argparse.ArgumentTypeError(f"{text!r} is not of the form KEY=VALUE")
@@ -40,14 +40,15 @@
         return key, value
 
 
-def parser() -> argparse.ArgumentParser:
-    made = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    """Return the parser of the command line of `coraldeal rig`."""
+    root = argparse.ArgumentParser(
         "coraldeal rig",
-        description="Experiments on stand-ins of callers, servers and the list, on loopback.",
+        description="Run experiments with stand-ins for callers, servers and the list, on loopback.",
         epilog=EXAMPLES,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    commands = made.add_subparsers(dest="command", required=True)
+    commands = root.add_subparsers(dest="command", required=True)
 
     def add(name: str, text: str, example: str) -> argparse.ArgumentParser:
         return commands.add_parser(
@@ -58,158 +59,233 @@
             formatter_class=argparse.RawDescriptionHelpFormatter,
         )
 
-    run = add("run", "play an experiment", "coraldeal rig run experiments/calm.toml --set load.rate=500")
-    run.add_argument("file", type=Path, help="the experiment, TOML")
-    run.add_argument("--out", type=Path, help="the directory of results (default: a new one under results/)")
-    run.add_argument("--seed", type=int, help="in place of the file's")
-    run.add_argument(
-        "--set", type=_value, action="append", default=[], metavar="KEY=VALUE", help="a key by its path"
+    run_parser = add(
+        "run", "run an experiment", "coraldeal rig run experiments/calm.toml --set load.rate=500"
+    )
+    run_parser.add_argument("file", type=Path, help="experiment file, TOML")
+    run_parser.add_argument(
+        "--out", type=Path, help="directory of results (default: a new one under results/)"
+    )
+    run_parser.add_argument("--seed", type=int, help="seed that replaces the one of the file")
+    run_parser.add_argument(
+        "--set",
+        type=_value,
+        action="append",
+        default=[],
+        metavar="KEY=VALUE",
+        help="set a key of the experiment by its path",
+    )
+    run_parser.add_argument("--no-report", action="store_true", help="write no report")
+    compare = add(
+        "compare",
+        "compare two results by the ratios of their figures",
+        "coraldeal rig compare results/A results/B",
     )
-    run.add_argument("--no-report", action="store_true", help="draw no pictures")
-    compare = add("compare", "ratios of one result to another", "coraldeal rig compare results/A results/B")
     compare.add_argument("first", type=Path)
     compare.add_argument("second", type=Path)
-    report = add("report", "draw report.html of a result again", "coraldeal rig report results/A")
+    report = add("report", "write report.html of a result again", "coraldeal rig report results/A")
     report.add_argument("folder", type=Path)
     standins = add(
         "serve-standins",
-        "stand-in servers and their list for a node of your own, until Ctrl-C",
+        "serve stand-in servers and their list for a node started by hand, until Ctrl-C",
         "coraldeal rig serve-standins --servers 3 --work-ms 20 --config node.json --listen 127.0.0.1:8081",
     )
-    standins.add_argument("--servers", type=int, default=3, help="how many (default: 3)")
-    standins.add_argument("--cores", type=int, default=2, help="of each (default: 2)")
-    standins.add_argument("--work-ms", type=float, default=20.0, help="work of an inquiry (default: 20)")
-    standins.add_argument("--config", type=Path, required=True, help="write a node's configuration there")
-    standins.add_argument("--listen", default="127.0.0.1:8081", help="where that node is to listen")
-    standins.add_argument("--seconds", type=float, default=3600.0, help="end after (default: 3600)")
-    bulk = add(
+    standins.add_argument("--servers", type=int, default=3, help="number of servers (default: 3)")
+    standins.add_argument("--cores", type=int, default=2, help="cores of each server (default: 2)")
+    standins.add_argument("--work-ms", type=float, default=20.0, help="work of a request (default: 20)")
+    standins.add_argument(
+        "--config", type=Path, required=True, help="file to write the node's configuration to"
+    )
+    standins.add_argument("--listen", default="127.0.0.1:8081", help="address at which the node listens")
+    standins.add_argument("--seconds", type=float, default=3600.0, help="end after this time (default: 3600)")
+    transfers_parser = add(
         "transfers",
-        "many large transfers through one node at once, half bodies, half answers",
+        "send many large transfers through one node at once, half bodies, half answers",
         "coraldeal rig transfers --count 50 --megabytes 32",
     )
-    bulk.add_argument("--count", type=int, default=50, help="how many at once (default: 50)")
-    bulk.add_argument("--megabytes", type=int, default=32, help="of each (default: 32)")
+    transfers_parser.add_argument(
+        "--count", type=int, default=50, help="number of simultaneous transfers (default: 50)"
+    )
+    transfers_parser.add_argument(
+        "--megabytes", type=int, default=32, help="size of each transfer (default: 32)"
+    )
     scale_group = add(
         "scale",
-        "what size costs: slopes, and a fleet on its control side",
+        "measure the cost of size: slopes, and the control plane of a fleet",
         "coraldeal rig scale run --nodes 1000",
     )
-    scales = scale_group.add_subparsers(dest="scale", required=True)
-    slopes = scales.add_parser("slopes", help="what one more of something costs, with the fitted line")
+    scale_commands = scale_group.add_subparsers(dest="scale", required=True)
+    slopes = scale_commands.add_parser(
+        "slopes", help="measure what one more unit of something costs, by a fitted line"
+    )
     slopes.add_argument(
-        "--only", action="append", default=[], metavar="NAME", help="this one; may be repeated"
+        "--only", action="append", default=[], metavar="NAME", help="run only this measure; may be repeated"
     )
-    slopes.add_argument("--quick", action="store_true", help="small sizes, and no processes of their own")
-    slopes.add_argument("--out", type=Path, help="write all measures there, JSON")
-    _scale_run(scales)
-    _crowd(add)
-    _soak(add)
-    demo = add("demo", "thirty seconds of a node among servers in trouble", "coraldeal rig demo")
-    demo.add_argument("--seconds", type=float, default=30.0, help="default: 30")
-    demo.add_argument("--out", type=Path, help="the directory of results")
-    return made
-
-
-def _crowd(add: Callable[[str, str, str], argparse.ArgumentParser]) -> None:
-    made = add(
+    slopes.add_argument(
+        "--quick", action="store_true", help="use small sizes, and skip measures that start processes"
+    )
+    slopes.add_argument("--out", type=Path, help="file to write all measures to, JSON")
+    _add_scale_run(scale_commands)
+    _add_crowd(add)
+    _add_soak(add)
+    demo = add("demo", "run a node with failing servers for thirty seconds", "coraldeal rig demo")
+    demo.add_argument("--seconds", type=float, default=30.0, help="duration (default: 30)")
+    demo.add_argument("--out", type=Path, help="directory of results")
+    return root
+
+
+def _add_crowd(add: Callable[[str, str, str], argparse.ArgumentParser]) -> None:
+    crowd_parser = add(
         "crowd",
-        "new configurations in a row at a discovery that works through calls in turn, then a drain",
+        "reconfigure nodes repeatedly at a serial discovery service, then drain a server",
         "coraldeal rig crowd --nodes 60 --work-ms 40",
     )
-    made.add_argument("--nodes", type=int, default=60, help="node processes (default: 60)")
-    made.add_argument("--work-ms", type=float, default=40.0, help="discovery's work for a call (default: 40)")
-    made.add_argument("--most-waiting", type=int, default=0, help="calls that may wait there (default: any)")
-    made.add_argument("--drops-the-gone", action="store_true", help="no work for a caller that has gone")
-    made.add_argument(
-        "--ends-together", action="store_true", help="a call that fails ends all that its node has open"
+    crowd_parser.add_argument("--nodes", type=int, default=60, help="number of node processes (default: 60)")
+    crowd_parser.add_argument(
+        "--work-ms", type=float, default=40.0, help="work of discovery per call (default: 40)"
+    )
+    crowd_parser.add_argument(
+        "--most-waiting", type=int, default=0, help="calls that may wait at discovery (default: any number)"
+    )
+    crowd_parser.add_argument(
+        "--drops-the-gone",
+        action="store_true",
+        help="discovery does no work for a call whose connection is closed",
+    )
+    crowd_parser.add_argument(
+        "--ends-together", action="store_true", help="a failing call ends all open calls of its node"
     )
-    made.add_argument("--ends-watches", action="store_true", help="a watch ends instead of telling")
-    made.add_argument("--moves", type=int, default=4, help="new configurations of each node (default: 4)")
-    made.add_argument(
-        "--spread", type=float, default=1.5, help="seconds over which nodes get the first (default: 1.5)"
+    crowd_parser.add_argument(
+        "--ends-watches", action="store_true", help="a watch ends instead of answering with the change"
     )
-    made.add_argument(
-        "--drain-after", type=float, default=2.0, help="seconds behind the last of them (default: 2)"
+    crowd_parser.add_argument(
+        "--moves", type=int, default=4, help="number of new configurations of each node (default: 4)"
     )
-    made.add_argument(
-        "--published-after", type=float, default=0.0, help="seconds from the drain to its list (default: 0)"
+    crowd_parser.add_argument(
+        "--spread",
+        type=float,
+        default=1.5,
+        help="seconds over which nodes get their first configuration (default: 1.5)",
     )
-    made.add_argument(
-        "--outage", type=float, default=0.0, help="seconds that discovery is down before it (default: 0)"
+    crowd_parser.add_argument(
+        "--drain-after",
+        type=float,
+        default=2.0,
+        help="seconds from the last configuration to the drain (default: 2)",
     )
-    made.add_argument("--seed", type=int, default=1)
-    made.add_argument(
+    crowd_parser.add_argument(
+        "--published-after",
+        type=float,
+        default=0.0,
+        help="seconds from the drain to its publication in the list (default: 0)",
+    )
+    crowd_parser.add_argument(
+        "--outage",
+        type=float,
+        default=0.0,
+        help="seconds that discovery is down before the drain (default: 0)",
+    )
+    crowd_parser.add_argument("--seed", type=int, default=1)
+    crowd_parser.add_argument(
         "--draw",
         type=int,
         default=0,
         metavar="N",
-        help="N plays, each drawn from its seed: from --seed on; what is told above is not used",
+        help="make N runs, each drawn from its seed, starting with --seed; the options above are unused",
     )
-    made.add_argument("--commit", default="", help="the nodes are the program of this commit")
-    made.add_argument("--out", type=Path, help="keep the nodes' files and logs there")
+    crowd_parser.add_argument("--commit", default="", help="run the nodes with the program of this commit")
+    crowd_parser.add_argument("--out", type=Path, help="directory to keep the nodes' files and logs in")
 
 
-def _soak(add: Callable[[str, str, str], argparse.ArgumentParser]) -> None:
-    made = add(
+def _add_soak(add: Callable[[str, str, str], argparse.ArgumentParser]) -> None:
+    soak_parser = add(
         "soak",
-        "experiments drawn from seeds: troubles, failing system calls, stepped clocks, crowds",
+        "run experiments drawn from seeds: injected faults, failing system calls, clock steps, many nodes",
         "coraldeal rig soak --seeds 50 --side-by-side 3",
     )
-    made.add_argument("--seeds", type=int, default=8, help="how many (default: 8)")
-    made.add_argument("--first", type=int, default=1, help="the first of them (default: 1)")
-    made.add_argument("--side-by-side", type=int, default=1, help="how many at once (default: 1)")
-    made.add_argument("--plant", default="", metavar="FAULT", help="a fault that is to be found")
-    made.add_argument("--out", type=Path, help="keep books, configurations and logs there")
+    soak_parser.add_argument("--seeds", type=int, default=8, help="number of seeds (default: 8)")
+    soak_parser.add_argument("--first", type=int, default=1, help="first seed (default: 1)")
+    soak_parser.add_argument(
+        "--side-by-side", type=int, default=1, help="number of simultaneous runs (default: 1)"
+    )
+    soak_parser.add_argument(
+        "--plant", default="", metavar="FAULT", help="plant a fault that the checks have to detect"
+    )
+    soak_parser.add_argument("--out", type=Path, help="directory to keep records, configurations and logs in")
 
 
-def _scale_run(commands: Any) -> None:
-    text = "hollow nodes beside real ones follow a source through its troubles"
-    made = commands.add_parser(
+def _add_scale_run(commands: Any) -> None:
+    text = "let hollow and real nodes follow a source of lists through injected faults"
+    run_parser = commands.add_parser(
         "run",
         help=text,
         description=text,
         epilog=f"example: coraldeal rig scale run --nodes 1000 --seconds 60\n{STATUSES}",
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    made.add_argument(
-        "--nodes", type=int, default=200, help="hollow nodes, and as many servers (default: 200)"
+    run_parser.add_argument(
+        "--nodes", type=int, default=200, help="number of hollow nodes, and of servers (default: 200)"
     )
-    made.add_argument("--real", type=int, default=8, help="real node processes under load (default: 8)")
-    made.add_argument("--seconds", type=float, default=24.0, help="of changes (default: 24)")
-    made.add_argument("--settle", type=float, default=6.0, help="until the end is judged (default: 6)")
-    made.add_argument("--seed", type=int, default=1)
-    made.add_argument("--rate", type=float, default=0.66, help="changes a second (default: 0.66)")
-    made.add_argument("--processes", type=int, default=0, help="of hollow nodes (default: one for 250 nodes)")
-    made.add_argument(
-        "--relays", type=int, default=0, help="relays in each region (default: 0, straight from the source)"
+    run_parser.add_argument(
+        "--real", type=int, default=8, help="number of real node processes, under load (default: 8)"
     )
-    made.add_argument(
-        "--plant", default="", metavar="FAULT", help="drop, swap, stale or keep-gone: to be found"
+    run_parser.add_argument(
+        "--seconds", type=float, default=24.0, help="duration of the changes (default: 24)"
     )
-    made.add_argument("--troubles", metavar="A,B", help="only these, or none (default: all)")
-    made.add_argument(
-        "--limit-ms", type=float, default=0.0, help="worst from made to in force (default: any)"
+    run_parser.add_argument(
+        "--settle",
+        type=float,
+        default=6.0,
+        help="seconds from the last change to the final check (default: 6)",
+    )
+    run_parser.add_argument("--seed", type=int, default=1)
+    run_parser.add_argument("--rate", type=float, default=0.66, help="changes per second (default: 0.66)")
+    run_parser.add_argument(
+        "--processes", type=int, default=0, help="processes of hollow nodes (default: one per 250 nodes)"
+    )
+    run_parser.add_argument(
+        "--relays",
+        type=int,
+        default=0,
+        help="relays in each region (default: 0, nodes follow the source directly)",
+    )
+    run_parser.add_argument(
+        "--plant",
+        default="",
+        metavar="FAULT",
+        help="plant a fault to be detected: drop, swap, stale or keep-gone",
+    )
+    run_parser.add_argument(
+        "--troubles", metavar="A,B", help="inject only these faults, or none (default: all)"
+    )
+    run_parser.add_argument(
+        "--limit-ms",
+        type=float,
+        default=0.0,
+        help="limit of the time from a change until it is in force (default: none)",
+    )
+    run_parser.add_argument(
+        "--out", type=Path, help="directory of records and summary.json (default: a new one)"
     )
-    made.add_argument("--out", type=Path, help="the directory of books and summary.json (default: a new one)")
 
 
 def scale(args: argparse.Namespace) -> int:
-    """What size costs."""
+    """Run `scale run` or `scale slopes`; returns the exit status."""
     return scale_run(args) if args.scale == "run" else slopes(args)
 
 
 def crowd(args: argparse.Namespace) -> int:
-    """Many nodes at one discovery; 1 where a drain was not kept."""
+    """Run many nodes at one discovery service; returns 1 if a drain was violated."""
     import tempfile
 
     from coraldeal.rig.crowd.draw import draw
     from coraldeal.rig.crowd.play import Options, play
     from coraldeal.rig.crowd.service import ServiceLimits
     from coraldeal.rig.experiment import Variant
-    from coraldeal.rig.nodes import program_of
+    from coraldeal.rig.nodes import prepare_program
 
     if not (1 <= args.nodes <= 300 and 0 < args.work_ms <= 3000):
-        raise ExperimentError("--nodes is to be in 1 to 300, --work-ms over 0 and at most 3000")
+        raise ExperimentError("--nodes must be from 1 to 300, --work-ms more than 0 and at most 3000")
     limits = ServiceLimits(
         args.work_ms / 1000,
         most_waiting=args.most_waiting,
@@ -230,7 +306,7 @@
     drawn = [draw(seed) for seed in range(args.seed, args.seed + args.draw)]
     failed = 0
     with tempfile.TemporaryDirectory() as scratch:
-        program = program_of(Variant(name="nodes", commit=args.commit), Path(scratch))
+        program = prepare_program(Variant(name="nodes", commit=args.commit), Path(scratch))
         for played in drawn or [options]:
             if drawn:
                 print(f"coraldeal rig crowd --draw 1 --seed {played.seed}: {played}")
@@ -243,7 +319,7 @@
 
 
 def soak(args: argparse.Namespace) -> int:
-    """Seeds one after another; 1 where one failed."""
+    """Run the experiments of the seeds; returns 1 if one failed."""
     from coraldeal.rig.play import default_folder
     from coraldeal.rig.soak.play import Options
     from coraldeal.rig.soak.play import soak as play
@@ -257,12 +333,12 @@
     options = Options(args.first, args.seeds, args.side_by_side, args.plant, folder)
     verdicts = clock.run(play(options, lambda text: print(text, flush=True)))
     failed = sum(bool(verdict.broken) for verdict in verdicts)
-    print(f"{len(verdicts) - failed} passed, {failed} failed; books of those that failed: {folder}")
+    print(f"{len(verdicts) - failed} passed, {failed} failed; records of failed seeds: {folder}")
     return int(failed > 0)
 
 
 def scale_run(args: argparse.Namespace) -> int:
-    """The scale run; 1 where its verdict is not good."""
+    """Run the scale test; returns 1 if its verdict is not good."""
     from coraldeal.rig.play import default_folder
     from coraldeal.rig.scale.run import Options, play, told
     from coraldeal.rig.scale.timeline import PLANTS, TROUBLES
@@ -282,7 +358,7 @@
         processes=args.processes,
         relays=args.relays,
         plant=args.plant,
-        # In their own order, whatever that of the option.
+        # In the order of TROUBLES, whatever the order in the option.
         troubles=tuple(name for name in TROUBLES if name in named),
         settle=args.settle,
         limit_ms=args.limit_ms,
@@ -295,130 +371,140 @@
 
 
 def run(args: argparse.Namespace) -> int:
-    """Play an experiment file."""
-    from coraldeal.rig.play import Play, default_folder, progress_line
+    """Run an experiment file; returns the exit status."""
+    from coraldeal.rig.play import ExperimentRunner, default_folder, progress_line
     from coraldeal.rig.run import Run
 
     folder = args.out or default_folder(args.file)
-    terminal = sys.stderr.isatty()
-    last = 0.0
+    is_terminal = sys.stderr.isatty()
+    last_line_at = 0.0
 
-    def progress(running: Run) -> None:
-        nonlocal last
-        if terminal:
-            print(f"\r\x1b[K{progress_line(running)}", end="", file=sys.stderr, flush=True)
-        elif time.monotonic() - last > 10:
-            last = time.monotonic()
-            print(progress_line(running), file=sys.stderr, flush=True)
+    def progress(active: Run) -> None:
+        nonlocal last_line_at
+        if is_terminal:
+            print(f"\r\x1b[K{progress_line(active)}", end="", file=sys.stderr, flush=True)
+        elif time.monotonic() - last_line_at > 10:
+            last_line_at = time.monotonic()
+            print(progress_line(active), file=sys.stderr, flush=True)
 
     def say(text: str) -> None:
-        if terminal:
+        if is_terminal:
             print("\r\x1b[K", end="", file=sys.stderr, flush=True)
         print(text, flush=True)
 
-    play = Play(args.file, folder, overrides=dict(args.set), seed=args.seed, say=say, on_progress=progress)
-    return _finish(play, folder, draw=not args.no_report)
+    runner = ExperimentRunner(
+        args.file, folder, overrides=dict(args.set), seed=args.seed, say=say, on_progress=progress
+    )
+    return _run_and_report(runner, folder, has_report=not args.no_report)
 
 
-def _finish(play: Any, folder: Path, draw: bool) -> int:
-    """Play, draw, and say what held."""
-    outcome, status = clock.run(play.play())
-    for verdict in outcome.verdicts:
+def _run_and_report(runner: Any, folder: Path, has_report: bool) -> int:
+    """Run an experiment, print its assertions, and write the report; returns the exit status."""
+    result, status = clock.run(runner.run())
+    for verdict in result.verdicts:
         word = "holds" if verdict.true else "DOES NOT HOLD"
-        print(f"claim {verdict.claim}: {word} for {verdict.variant} (seen {verdict.value})")
-    if draw and outcome.summaries:
+        print(f"assertion {verdict.claim}: {word} for {verdict.variant} (value {verdict.value})")
+    if has_report and result.summaries:
         from coraldeal.rig.report import write_report
 
-        print(f"report: {write_report(outcome, folder)}")
+        print(f"report: {write_report(result, folder)}")
     print(f"results: {folder}")
-    if outcome.interrupted:
-        print("interrupted: what was measured until then is kept", file=sys.stderr)
+    if result.interrupted:
+        print("interrupted: the results until then are kept", file=sys.stderr)
     return int(status)
 
 
 def compare(args: argparse.Namespace) -> int:
-    """Two results, figure by figure."""
+    """Print the figures of two results and their ratios."""
     from statistics import median
 
-    from coraldeal.rig.play import COMPARED, read
+    from coraldeal.rig.play import COMPARED_FIGURES, read_result
 
-    first, second = read(args.first), read(args.second)
+    first, second = read_result(args.first), read_result(args.second)
     names = [s.variant for s in first.summaries]
     for name in dict.fromkeys(names):
-        one = [s.figures for s in first.summaries if s.variant == name]
-        two = [s.figures for s in second.summaries if s.variant == name]
-        if not two:
+        first_figures = [s.figures for s in first.summaries if s.variant == name]
+        second_figures = [s.figures for s in second.summaries if s.variant == name]
+        if not second_figures:
             print(f"{name}: only in {args.first}")
             continue
-        print(f"{name}: {len(one)} runs against {len(two)}")
+        print(f"{name}: {len(first_figures)} runs against {len(second_figures)}")
         print(f"  {'figure':26} {'first':>11} {'second':>11} {'ratio':>7}  spread of second")
-        for figure in COMPARED:
-            old = [f[figure] for f in one if figure in f]
-            new = [f[figure] for f in two if figure in f]
+        for figure in COMPARED_FIGURES:
+            old = [figures[figure] for figures in first_figures if figure in figures]
+            new = [figures[figure] for figures in second_figures if figure in figures]
             if old and new:
-                a, b = median(old), median(new)
-                ratio = f"{b / a:7.3f}" if a else "      -"
-                print(f"  {figure:26} {a:11.4g} {b:11.4g} {ratio}  {min(new):.4g} to {max(new):.4g}")
+                old_median, new_median = median(old), median(new)
+                ratio = f"{new_median / old_median:7.3f}" if old_median else "      -"
+                print(
+                    f"  {figure:26} {old_median:11.4g} {new_median:11.4g} {ratio}  "
+                    f"{min(new):.4g} to {max(new):.4g}"
+                )
     return 0
 
 
 def report(args: argparse.Namespace) -> int:
-    from coraldeal.rig.play import read
+    """Write the report of a directory of results again."""
+    from coraldeal.rig.play import read_result
     from coraldeal.rig.report import write_report
 
-    print(write_report(read(args.folder), args.folder))
+    print(write_report(read_result(args.folder), args.folder))
     return 0
 
 
 def transfers(args: argparse.Namespace) -> int:
-    """Many large transfers at once; 1 where one did not come whole."""
-    from coraldeal.rig.transfers import transfers as play
+    """Run many large transfers at once; returns 1 if one was incomplete."""
+    from coraldeal.rig.transfers import run_transfers
 
     if not (1 <= args.count <= 400 and 1 <= args.megabytes <= 64):
-        raise ExperimentError("--count is to be in 1 to 400, --megabytes in 1 to 64")
-    seen = clock.run(play(args.count, args.megabytes))
-    print(seen.told())
-    return int(seen.whole != seen.asked)
+        raise ExperimentError("--count must be from 1 to 400, --megabytes from 1 to 64")
+    result = clock.run(run_transfers(args.count, args.megabytes))
+    print(result.format())
+    return int(result.complete != result.total)
 
 
 def slopes(args: argparse.Namespace) -> int:
-    """What one more of something costs."""
+    """Measure what one more unit of something costs; returns the exit status."""
     from coraldeal.rig.slopes import play
 
     return play(args.only, args.quick, args.out)
 
 
 def demo(args: argparse.Namespace) -> int:
-    """The main job: a node among servers that crawl, die and drain, seen live."""
-    from coraldeal.rig.play import Play, default_folder
+    """Run the demo: a node with servers that slow down, die and drain, in a live table."""
+    from coraldeal.rig.play import ExperimentRunner, default_folder
     from coraldeal.rig.view import LiveView, demo_file
 
     file = demo_file()
     folder = args.out or default_folder(file)
     overrides = {"seconds": args.seconds} if args.seconds != 30.0 else {}
     with LiveView() as view:
-        play = Play(file, folder, overrides=overrides, say=view.say, on_progress=view.show)
-        outcome, status = clock.run(play.play())
+        runner = ExperimentRunner(file, folder, overrides=overrides, say=view.say, on_progress=view.show)
+        result, status = clock.run(runner.run())
     from coraldeal.rig.report import write_report
 
-    if outcome.summaries:
-        figures = outcome.summaries[0].figures
+    if result.summaries:
+        figures = result.summaries[0].figures
         print(
             f"{figures['asked']:.0f} inquiries: {figures['satisfied']:.0f} satisfied, "
             f"{figures['deferred']:.0f} deferred, {figures['given_up']:.0f} given up, "
             f"{figures['unanswered']:.0f} unanswered; "
-            + ("no rule broke" if not figures["violations"] else f"RULES BROKEN: {figures['violations']:.0f}")
+            + (
+                "no rule was violated"
+                if not figures["violations"]
+                else f"RULE VIOLATIONS: {figures['violations']:.0f}"
+            )
         )
-        print(f"report: {write_report(outcome, folder)}")
+        print(f"report: {write_report(result, folder)}")
     return int(status)
 
 
 def serve_standins(args: argparse.Namespace) -> int:
-    """Stand-ins alone, for trying a node by hand."""
-    return int(clock.run(_standins(args)))
+    """Serve stand-ins without a node, for trying a node by hand."""
+    return int(clock.run(_serve_standins(args)))
 
 
-async def _standins(args: argparse.Namespace) -> int:
+async def _serve_standins(args: argparse.Namespace) -> int:
     from coraldeal.rig.experiment import Experiment, Load, RequestClassSpec, TierSpec, Variant, World
     from coraldeal.rig.listing import Listed, Listing
     from coraldeal.rig.model import Group, ServerSpec
@@ -427,17 +513,17 @@
     from coraldeal.rig.standins import StandIn
 
     tier = TierSpec(servers=args.servers, cores=args.cores)
-    tracks = [
+    request_classes = [
         RequestClassSpec(name="read", work_ms=args.work_ms),
         RequestClassSpec(name="gift", effect="labelled"),
     ]
-    experiment = Experiment(name="standins", world=World(tiers=[tier]), load=Load(tracks=tracks))
-    book, group = Records(), Group(0.0, 2_000_000)
-    listing = Listing(0, book, 300_000)
-    shape = ServerSpec(cores=args.cores)
+    experiment = Experiment(name="standins", world=World(tiers=[tier]), load=Load(tracks=request_classes))
+    records, group = Records(), Group(0.0, 2_000_000)
+    listing = Listing(0, records, 300_000)
+    spec = ServerSpec(cores=args.cores)
     for number in range(args.servers):
         standin = StandIn(
-            f"front-{number}", 0, "a", shape, group, book, 1, fields=[], probes=False, idle_us=5_000_000
+            f"front-{number}", 0, "a", spec, group, records, 1, fields=[], probes=False, idle_us=5_000_000
         )
         standin.default_work_us = int(args.work_ms * 1000)
         await standin.start({"a": 0.0})
@@ -448,7 +534,7 @@
     node = NodeProcess("node", 0, 0, "a", int(listen), args.config.parent, Program([], Path()))
     node.path = args.config
     node.configure(experiment, Variant(name="standins"), listing, port, 1, 0, 1)
-    print(f"the list on 127.0.0.1:{port}; start a node: coraldeal serve --config {args.config}")
+    print(f"list of servers on 127.0.0.1:{port}; start a node: coraldeal serve --config {args.config}")
     print(f"then: curl -i -H 'Req-Id: 1' -H 'Req-Deadline: 800m' http://{host}:{listen}/read/x", flush=True)
     stop = asyncio.Event()
     for number in (signal.SIGINT, signal.SIGTERM):
@@ -456,15 +542,15 @@
     try:
         await asyncio.wait_for(stop.wait(), args.seconds)
     except TimeoutError:
-        print("the time is over")
+        print("time limit reached")
     await listing.close()
     return 0
 
 
 def main(argv: list[str]) -> int:
-    """Exit statuses are told by --help."""
-    args = parser().parse_args(argv)
-    acts = {
+    """Run a sub-command and return its exit status, as documented by --help."""
+    args = build_parser().parse_args(argv)
+    handlers = {
         "run": run,
         "compare": compare,
         "report": report,
@@ -476,7 +562,7 @@
         "demo": demo,
     }
     try:
-        return acts[args.command](args)
+        return handlers[args.command](args)
     except (ExperimentError, InvalidAssertionError, OSError) as error:
         print(f"coraldeal rig: {error}", file=sys.stderr)
         return 2
