--- a/coraldeal/rig/child.py
+++ b/coraldeal/rig/child.py
@@ -196,7 +196,7 @@
         standin.faults.min_idle_us, standin.faults.max_idle_us = (int(s * 1e6) for s in between)
 
     def _set_nodes(self, message: Nodes) -> None:
-        """Create the pool through which each server calls the next tier: by the node given for the server."""
+        """Create for each server the pool that calls the next tier through the server's own node."""
         experiment = self.job.experiment
         load = msgspec.structs.replace(experiment.load, retries=0, try_part=1.0, leave=0.0, tenants=[])
         for name, (number, port) in message.ports.items():
@@ -215,7 +215,8 @@
     def _next_tier_caller(self, name: str) -> Callable[[str, int, int], asyncio.Future[bool]]:
         """Return the function by which a server calls the next tier.
 
-        Its calls are sequential, each with the time that is left. Its future is true if all calls succeeded.
+        The function makes calls one after another, each with the time that is left, and returns a future that
+        is true if all of them succeeded.
         """
         numbers = iter(range(1 << 60))
         names = [spec.name for spec in self.job.experiment.load.tracks]
--- a/coraldeal/rig/report.py
+++ b/coraldeal/rig/report.py
@@ -188,7 +188,7 @@
     axes.set_xlabel("seconds")
     axes.set_ylabel("per second")
     axes.legend(fontsize=8, ncol=6, loc="upper center", bbox_to_anchor=(0.5, -0.15))
-    axes.set_title("tries by result, tries offered, attempts at servers", fontsize=10)
+    axes.set_title("tries by outcome, tries offered, attempts at servers", fontsize=10)
     return figure
 
 
--- a/coraldeal/rig/results.py
+++ b/coraldeal/rig/results.py
@@ -340,6 +340,6 @@
             )
         if not run.is_complete:
             self.warnings.append("the run was interrupted: the figures cover the time until then")
-        for name, usage in run.nodes.items():
-            if usage.crashes:
-                self.warnings.append(f"{name} crashed {usage.crashes} times")
+        for name, node_usage in run.nodes.items():
+            if node_usage.crashes:
+                self.warnings.append(f"{name} crashed {node_usage.crashes} times")
--- a/coraldeal/rig/run.py
+++ b/coraldeal/rig/run.py
@@ -173,7 +173,7 @@
         self.stop = asyncio.Event()
 
     async def execute(self) -> RunResult:
-        """Execute the run; if interrupted, its result is partial. Raises ExperimentError if it can't start."""
+        """Execute the run; an interrupted run has a partial result. Raises ExperimentError."""
         self.folder.mkdir(parents=True, exist_ok=True)
         program = self.program or prepare_program(self.variant, self.folder)
         try:
