--- a/coraldeal/rig/run.py
+++ b/coraldeal/rig/run.py
@@ -173,7 +173,10 @@
         self.stop = asyncio.Event()
 
     async def execute(self) -> RunResult:
-        """Execute the run; an interrupted run has a partial result. Raises ExperimentError."""
+        """Execute the run and return its result, which is partial if the run is interrupted.
+
+        Raises ExperimentError if a process can't be started or does not become ready.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         program = self.program or prepare_program(self.variant, self.folder)
         try:
--- a/tests/rig/test_runs.py
+++ b/tests/rig/test_runs.py
@@ -131,7 +131,7 @@
 who = ["node-0"]
 """
 
-# Every kind of injected fault, most of them overlapping: kind, target, further keys.
+# Injected faults of many kinds, most of them overlapping: kind, target, further keys.
 EVENTS = (
     ("kill", "front-0", "seconds = 2"),
     ("freeze", "front-1", "seconds = 1"),
@@ -218,7 +218,7 @@
         read = read_result(self.folder / "out")
         self.assertEqual([s.figures for s in read.summaries], [s.figures for s in result.summaries])
 
-    def test_all_injected_faults_at_once_violate_no_rule(self) -> None:
+    def test_overlapping_injected_faults_violate_no_rule(self) -> None:
         events = "".join(
             f"[[timeline]]\nat = {2 + 0.1 * number}\ndo = '{do}'\nwho = ['{who}']\n{more}\n"
             for number, (do, who, more) in enumerate(EVENTS)
@@ -261,7 +261,7 @@
         self.assertEqual(len(summary.nodes), 4)
 
 
-class EndTest(unittest.TestCase):
+class CommandLineTest(unittest.TestCase):
     """Exit status, messages and cleanup of the command line for invalid input and interrupted runs."""
 
     def setUp(self) -> None:
