--- a/coraldeal/rig/crowd/play.py
+++ b/coraldeal/rig/crowd/play.py
@@ -178,13 +178,13 @@
         async def start(node: NodeProcess) -> None:
             async with starting:
                 await node.start()
-                await node.until_ready()
+                await node.wait_until_ready()
 
         await asyncio.gather(*(start(node) for node in self.nodes))
         for node in self.nodes:
             # Another process may have been given its port meanwhile, and answered for it.
             if node.process is None or node.process.returncode is not None:
-                raise ExperimentError(f"{node.name} ended at its start: {node.last_words()}")
+                raise ExperimentError(f"{node.name} ended at its start: {node.last_log_line()}")
         # Their first calls are spread over some seconds, and may wait their turn.
         await asyncio.sleep(2.0 + 2 * self.options.nodes * self.options.limits.work)
         self.say(f"{len(self.nodes)} nodes are up, {len(self.service.calls)} calls until now")
@@ -248,7 +248,7 @@
         for place in range(1, self.options.moves + 1):
             await sleep_until(at_us + int((place - 1) * self.options.move_every * 1e6))
             self._configure(number, place)
-            self.nodes[number].send(signal.SIGHUP)
+            self.nodes[number].send_signal(signal.SIGHUP)
             self.service.history(number).sighups.append(now_us() / 1e6)
             self.places[number][place - 1].leave()
 
--- a/coraldeal/rig/scale/relays.py
+++ b/coraldeal/rig/scale/relays.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from coraldeal.rig.experiment import ExperimentError
-from coraldeal.rig.nodes import ROOT, _end_with_parent, process_figures
+from coraldeal.rig.nodes import ROOT, _end_with_parent, process_usage
 
 READY_WAIT = 60.0
 
@@ -61,7 +61,7 @@
     def figures(self) -> tuple[float, float]:
         """Processor time used so far in seconds, and memory held in MB."""
         assert self.process is not None
-        return process_figures(self.process.pid)
+        return process_usage(self.process.pid)
 
     async def kill(self) -> None:
         if self.process is not None and self.process.returncode is None:
--- a/coraldeal/rig/scale/run.py
+++ b/coraldeal/rig/scale/run.py
@@ -18,7 +18,7 @@
 
 from coraldeal.rig.clock import now_us, sleep_until
 from coraldeal.rig.experiment import ExperimentError
-from coraldeal.rig.nodes import ROOT, NodeProcess, Program, _end_with_parent, process_figures
+from coraldeal.rig.nodes import ROOT, NodeProcess, Program, _end_with_parent, process_usage
 from coraldeal.rig.run import free_port
 from coraldeal.rig.scale import books
 from coraldeal.rig.scale.books import (
@@ -199,8 +199,8 @@
     """One call at a real node's door; once more where a busy machine let it wait."""
     for _ in range(2):
         with contextlib.suppress(TimeoutError):
-            return await node.ask_door(line.encode())
-    return await node.ask_door(line.encode())
+            return await node.call_admin(line.encode())
+    return await node.call_admin(line.encode())
 
 
 class Run:
@@ -348,10 +348,10 @@
             # The door is asked by its port; no folder is told, so that no process takes over from another.
             node.program.env["TMPDIR"] = ""
             await node.start()
-            node.door = door
+            node.admin_port = door
             self.real.append(node)
         for node in self.real:
-            await node.until_ready()
+            await node.wait_until_ready()
 
     async def _start_hollow(self, topology: Topology, own: dict[int, list[str]]) -> None:
         fleet, count = self.fleet, len(self.hollow)
@@ -377,7 +377,7 @@
 
     async def _through(self) -> None:
         self.begin_us = now_us() + 500_000
-        self.real_used = [-node.figures()[0] for node in self.real]
+        self.real_used = [-node.usage()[0] for node in self.real]
         self.relay_used = [-relay.figures()[0] for relay in self.relays]
         ports = [node.port for node in self.real]
         for child in [*self.hollow, self.source, self.played]:
@@ -390,7 +390,7 @@
                 self.killing = asyncio.get_running_loop().create_task(self._kill_relay())
         await sleep_until(self.begin_us + int((self.options.seconds + self.options.settle) * 1e6))
         self.real_used = [
-            used + node.figures()[0] for used, node in zip(self.real_used, self.real, strict=True)
+            used + node.usage()[0] for used, node in zip(self.real_used, self.real, strict=True)
         ]
         if self.killing is not None:
             await self.killing
@@ -473,7 +473,7 @@
         followers = options.nodes + options.real
         hollow_cpu = sum(book.cpu_s for book in hollow)
         hollow_mb = sum(child.peak_mb for child in self.hollow)
-        real_mb = [process_figures(node.process.pid)[1] for node in self.real if node.process is not None]
+        real_mb = [process_usage(node.process.pid)[1] for node in self.real if node.process is not None]
         return {
             "good": verdict.good,
             "topology": self.topology,
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -55,8 +55,8 @@
 )
 from coraldeal.rig.listing import Listed as ListedServer
 from coraldeal.rig.listing import Listing, entry
-from coraldeal.rig.nodes import NodeProcess, process_figures, program_of
-from coraldeal.rig.play import Play
+from coraldeal.rig.nodes import NodeProcess, prepare_program, process_usage
+from coraldeal.rig.play import ExperimentRunner
 from coraldeal.rig.records import Records
 
 # Servers in a list: a service, ten, a hundred, and all of the target.
@@ -526,13 +526,13 @@
             found.bind(("127.0.0.1", 0))
             port = found.getsockname()[1]
             found.close()
-            program = program_of(Variant(name="slopes"), Path(folder))
+            program = prepare_program(Variant(name="slopes"), Path(folder))
             node = NodeProcess("node", 0, 0, "a", port, Path(folder), program)
             node.configure(experiment, Variant(name="slopes"), listing, door, NODES, NODES // 3, 1)
             ends: list[socket.socket] = []
             try:
                 await node.start()
-                await node.until_ready()
+                await node.wait_until_ready()
                 assert node.process is not None
                 pid = node.process.pid
                 started = _used_us(pid)
@@ -540,7 +540,7 @@
                 used = _used_us(pid)
                 await asyncio.sleep(IDLE_FOR)
                 idle = (_used_us(pid) - used) / IDLE_FOR
-                megabytes = process_figures(pid)[1]
+                megabytes = process_usage(pid)[1]
                 loop = asyncio.get_running_loop()
                 for _ in range(callers):
                     end = socket.socket()
@@ -549,7 +549,7 @@
                     await loop.sock_connect(end, ("127.0.0.1", port))
                     await loop.sock_sendall(end, b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
                     await loop.sock_recv(end, 4096)
-                held = process_figures(pid)[1]
+                held = process_usage(pid)[1]
                 return _Node(started, idle, megabytes, held, len(os.listdir(f"/proc/{pid}/fd")))
             except TimeoutError:
                 raise ExperimentError(f"a node that knows {servers} servers was not ready in time") from None
@@ -617,8 +617,8 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "calls.toml"
         file.write_text(CALLS, encoding="utf-8")
-        played = Play(file, Path(folder) / "out", overrides={"load.rate": rate}, say=_nothing)
-        outcome, _ = on_clock(played.play())
+        played = ExperimentRunner(file, Path(folder) / "out", overrides={"load.rate": rate}, say=_nothing)
+        outcome, _ = on_clock(played.run())
     if outcome.interrupted:
         raise ExperimentError("the calls were interrupted")
 
--- a/coraldeal/rig/soak/play.py
+++ b/coraldeal/rig/soak/play.py
@@ -16,7 +16,7 @@
 from coraldeal.rig.nodes import ROOT, Program
 from coraldeal.rig.records import TryRecord
 from coraldeal.rig.rules import RuleChecker
-from coraldeal.rig.run import Played, Run
+from coraldeal.rig.run import Run, RunResult
 from coraldeal.rig.soak.draw import Drawn, draw
 from coraldeal.rig.soak.shim import ShimError, build
 
@@ -118,19 +118,19 @@
     elif drawn.faults is not None:
         not_run.append(f"system calls and clock: {why}")
     run = Run(drawn.experiment, Variant(name="soak"), seed, folder, program=program)
-    played = await run.play()
+    played = await run.execute()
     if drawn.faults is not None and library is not None:
         not_run += _not_forced(drawn, log)
-    judged = RuleChecker(played.experiment, played.book, played.marks, played.start_us)
+    judged = RuleChecker(played.experiment, played.records, played.node_events, played.start_us)
     broken = broken_by(played, judged)
     if broken:
         _keep(played, judged, folder)
-    late_ms = max((row.late_us // 1000 for row in played.book.late), default=0)
+    late_ms = max((row.late_us // 1000 for row in played.records.late), default=0)
     about = f"{_about(drawn)}; the rig itself was up to {late_ms} ms late"
     return Verdict(seed, about, broken, not_run)
 
 
-def _keep(played: Played, judged: RuleChecker, folder: Path) -> None:
+def _keep(played: RunResult, judged: RuleChecker, folder: Path) -> None:
     """What a failing seed is traced by: its books, and each violation with the rows of its request."""
     lines = [
         line
@@ -138,7 +138,7 @@
         for line in (f"{violation.rule}: {violation.what}", *violation.trace)
     ]
     (folder / "violations.txt").write_text("\n".join(lines) + "\n", encoding="utf-8")
-    played.book.write(folder / "books.msgpack")
+    played.records.write(folder / "books.msgpack")
 
 
 def _not_forced(drawn: Drawn, log: Path) -> list[str]:
@@ -158,7 +158,7 @@
     return ", ".join(words)
 
 
-def broken_by(played: Played, judged: RuleChecker) -> list[str]:
+def broken_by(played: RunResult, judged: RuleChecker) -> list[str]:
     """What a run broke: rules, by their judge, crashes, memory, nodes out of use."""
     first = {violation.rule: violation for violation in reversed(judged.check())}
     broken = [f"{rule}: {judged.counts[rule]}, first {first[rule].what}" for rule in first]
@@ -170,11 +170,11 @@
     return broken + _out_of_use(played)
 
 
-def _out_of_use(played: Played) -> list[str]:
+def _out_of_use(played: RunResult) -> list[str]:
     """Nodes that served nothing of all they got of a track for a while."""
     broken = []
     ended: dict[tuple[int, str], list[TryRecord]] = defaultdict(list)
-    for row in sorted(played.book.tries, key=lambda row: row.end_us):
+    for row in sorted(played.records.tries, key=lambda row: row.end_us):
         if row.status and row.node >= 0:
             ended[row.node, row.request_class].append(row)
     for (node, track), rows in ended.items():
--- a/tests/rig/test_plan.py
+++ b/tests/rig/test_plan.py
@@ -21,8 +21,8 @@
 )
 from coraldeal.rig.load import make_plan
 from coraldeal.rig.nodes import ROOT
-from coraldeal.rig.play import Play
-from coraldeal.rig.timeline import steps_of
+from coraldeal.rig.play import ExperimentRunner
+from coraldeal.rig.timeline import make_steps
 
 FULL = """
 name = "full"
@@ -75,7 +75,7 @@
         with self.assertRaises(ExperimentError) as caught:
             experiment = parse(text)
             make_plan(experiment, experiment.seed)
-            steps_of(experiment, experiment.seed)
+            make_steps(experiment, experiment.seed)
         for word in words:
             self.assertIn(word, str(caught.exception))
 
@@ -99,7 +99,7 @@
         self.assertGreaterEqual(len(paths), 3)
         for path in paths:
             with self.subTest(path.name), tempfile.TemporaryDirectory() as folder:
-                play = Play(path, Path(folder))
+                play = ExperimentRunner(path, Path(folder))
                 for _, played in play.variants:
                     self.assertTrue(make_plan(played, played.seed).inquiries)
 
@@ -125,7 +125,7 @@
 
         def encode_drawn(seed: int) -> bytes:
             return msgspec.msgpack.encode(make_plan(experiment, seed)) + msgspec.msgpack.encode(
-                steps_of(experiment, seed)
+                make_steps(experiment, seed)
             )
 
         self.assertEqual(encode_drawn(5), encode_drawn(5))
@@ -167,7 +167,7 @@
 
     def test_deploy_drains_kills_and_starts_one_batch_after_another(self) -> None:
         experiment = parse(FULL.replace("count = 6", "count = 0"))
-        steps = [(step.at_us // 1000, step.what) for step in steps_of(experiment, 5)]
+        steps = [(step.at_us // 1000, step.action) for step in make_steps(experiment, 5)]
         self.assertEqual(steps[:2], [(3000, "drain")] * 2)
         self.assertEqual(steps[2:4], [(5000, "kill")] * 2)
         self.assertEqual(
--- a/tests/rig/test_rules.py
+++ b/tests/rig/test_rules.py
@@ -7,9 +7,9 @@
 
 from coraldeal.rig.experiment import Experiment, Load, RequestClassSpec, Variant
 from coraldeal.rig.records import AttemptRecord, NotificationRecord, Records, ServerRecord, TryRecord
-from coraldeal.rig.results import Counted
+from coraldeal.rig.results import SummaryBuilder
 from coraldeal.rig.rules import NodeEvent, RuleChecker
-from coraldeal.rig.run import Played
+from coraldeal.rig.run import RunResult
 
 MS = 1000
 SECOND = 1_000_000
@@ -190,11 +190,11 @@
 
 
 class FiguresTest(unittest.TestCase):
-    def played(self, records: Records, **fields: Any) -> Played:
+    def played(self, records: Records, **fields: Any) -> RunResult:
         experiment = Experiment(
             name="x", seconds=10, settle_seconds=0, load=Load(tracks=REQUEST_CLASSES), rules="skip", **fields
         )
-        return Played(
+        return RunResult(
             experiment,
             Variant(name="v"),
             1,
@@ -209,7 +209,7 @@
 
     def test_percentiles_match_the_latencies_within_two_thousandths(self) -> None:
         tries = [make_try(n, at=n * MS, end_us=START + n * MS + 500 + n * 100) for n in range(1, 1001)]
-        summary, _ = Counted(self.played(Records(tries=tries)), 0).summary()
+        summary, _ = SummaryBuilder(self.played(Records(tries=tries)), 0).build()
         latencies = summary.latency_ms["all"]
         for name, expected in (("p50", 50.5), ("p90", 90.5), ("p99", 99.5), ("max", 100.5)):
             self.assertAlmostEqual(latencies[name] / expected, 1.0, delta=0.002)
@@ -218,7 +218,7 @@
         first = make_try(status=503, is_own=False, intended_us=START, sent_us=START + 30 * MS)
         second = make_try(number=1, at=500 * MS, id="id1b")
         second.number = 1
-        summary, _ = Counted(self.played(Records(tries=[first, second])), 0).summary()
+        summary, _ = SummaryBuilder(self.played(Records(tries=[first, second])), 0).build()
         self.assertAlmostEqual(summary.latency_ms["all"]["p50"], 520.0, delta=1.0)
         figures = summary.figures
         self.assertEqual((figures["asked"], figures["satisfied"], figures["tries_deferred"]), (1, 1, 1))
@@ -234,7 +234,7 @@
             make_try(5, status=0, failure="left"),
         ]
         attempts = [make_attempt(1), make_attempt(5, result="called_off"), make_attempt(4, at=30 * MS)]
-        summary, series = Counted(self.played(Records(tries=tries, attempts=attempts)), 0).summary()
+        summary, series = SummaryBuilder(self.played(Records(tries=tries, attempts=attempts)), 0).build()
         figures = summary.figures
         for name in ("satisfied", "deferred", "given_up", "unanswered", "left"):
             self.assertEqual(figures[name], 1, name)
@@ -245,7 +245,7 @@
     def test_busy_rig_process_gives_a_warning(self) -> None:
         played = self.played(Records(tries=[make_try()]))
         played.rig_cpu = {"callers-0": 9.5}
-        summary, _ = Counted(played, 0).summary()
+        summary, _ = SummaryBuilder(played, 0).build()
         self.assertIn("bottleneck", " ".join(summary.warnings))
 
 
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -16,7 +16,7 @@
 from coraldeal.rig.experiment import Experiment, Variant, World
 from coraldeal.rig.records import ListRecord, Records, TryRecord
 from coraldeal.rig.rules import RuleChecker
-from coraldeal.rig.run import Played
+from coraldeal.rig.run import RunResult
 from coraldeal.rig.soak.draw import LAST_TROUBLE, draw
 from coraldeal.rig.soak.play import Options, Verdict, broken_by, command_for, soak, told
 from coraldeal.rig.soak.shim import ShimError, SystemFaults, build
@@ -127,10 +127,10 @@
 
         for rows, expected in ((rejected(30), 1), (rejected(10), 0), ([*rejected(30), make_try()], 1)):
             experiment = Experiment(name="x")
-            played = Played(
+            played = RunResult(
                 experiment, Variant(name="x"), 1, START, START + 20 * SECOND, Records(tries=rows), [], {}, []
             )
-            judged = RuleChecker(experiment, played.book, played.marks, START)
+            judged = RuleChecker(experiment, played.records, played.node_events, START)
             self.assertEqual(len(broken_by(played, judged)), expected)
 
     def test_a_failing_seed_tells_how_it_is_played_again(self) -> None:
