--- a/coraldeal/rig/scale/relays.py
+++ b/coraldeal/rig/scale/relays.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 from coraldeal.rig.experiment import ExperimentError
-from coraldeal.rig.nodes import ROOT, _end_with_parent, process_figures
+from coraldeal.rig.nodes import ROOT, _end_with_parent, process_usage
 
 # The longest time that a relay may need to become ready, in seconds.
 READY_TIMEOUT = 60.0
@@ -62,7 +62,7 @@
     def figures(self) -> tuple[float, float]:
         """Processor time used so far, in seconds, and resident memory, in MB."""
         assert self.process is not None
-        return process_figures(self.process.pid)
+        return process_usage(self.process.pid)
 
     async def kill(self) -> None:
         """End the relay's process with SIGKILL, if it runs, and wait for its end."""
--- a/coraldeal/rig/scale/run.py
+++ b/coraldeal/rig/scale/run.py
@@ -18,7 +18,7 @@
 
 from coraldeal.rig.clock import now_us, sleep_until
 from coraldeal.rig.experiment import ExperimentError
-from coraldeal.rig.nodes import ROOT, NodeProcess, Program, _end_with_parent, process_figures
+from coraldeal.rig.nodes import ROOT, NodeProcess, Program, _end_with_parent, process_usage
 from coraldeal.rig.run import free_port
 from coraldeal.rig.scale import records
 from coraldeal.rig.scale.fleet import REGIONS, Fleet, draw_fleet
@@ -219,8 +219,8 @@
     """Send one call to a real node's admin listener; after a timeout on a busy machine, up to twice more."""
     for _ in range(2):
         with contextlib.suppress(TimeoutError):
-            return await node.ask_door(line.encode())
-    return await node.ask_door(line.encode())
+            return await node.call_admin(line.encode())
+    return await node.call_admin(line.encode())
 
 
 class Run:
@@ -382,10 +382,10 @@
             # listener is asked by its port.
             node.program.env["TMPDIR"] = ""
             await node.start()
-            node.door = admin_port
+            node.admin_port = admin_port
             self.real.append(node)
         for node in self.real:
-            await node.until_ready()
+            await node.wait_until_ready()
 
     async def _start_hollow(self, topology: Topology, dedicated: dict[int, list[str]]) -> None:
         fleet, count = self.fleet, len(self.hollow)
@@ -411,7 +411,7 @@
 
     async def _play_timeline(self) -> None:
         self.begin_us = now_us() + 500_000
-        self.real_cpu_s = [-node.figures()[0] for node in self.real]
+        self.real_cpu_s = [-node.usage()[0] for node in self.real]
         self.relay_cpu_s = [-relay.figures()[0] for relay in self.relays]
         ports = [node.port for node in self.real]
         for child in [*self.hollow, self.source, self.played]:
@@ -424,7 +424,7 @@
                 self.relay_kill_task = asyncio.get_running_loop().create_task(self._kill_relay())
         await sleep_until(self.begin_us + int((self.options.seconds + self.options.settle) * 1e6))
         self.real_cpu_s = [
-            used + node.figures()[0] for used, node in zip(self.real_cpu_s, self.real, strict=True)
+            used + node.usage()[0] for used, node in zip(self.real_cpu_s, self.real, strict=True)
         ]
         if self.relay_kill_task is not None:
             await self.relay_kill_task
@@ -513,7 +513,7 @@
         followers = options.nodes + options.real
         hollow_cpu_s = sum(of_process.cpu_s for of_process in hollow)
         hollow_mb = sum(child.peak_mb for child in self.hollow)
-        real_mb = [process_figures(node.process.pid)[1] for node in self.real if node.process is not None]
+        real_mb = [process_usage(node.process.pid)[1] for node in self.real if node.process is not None]
         return {
             "good": verdict.good,
             "topology": self.topology,
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -54,8 +54,8 @@
     World,
 )
 from coraldeal.rig.listing import ListedServer, Listing, entry
-from coraldeal.rig.nodes import NodeProcess, process_figures, program_of
-from coraldeal.rig.play import Play
+from coraldeal.rig.nodes import NodeProcess, prepare_program, process_usage
+from coraldeal.rig.play import ExperimentRunner
 from coraldeal.rig.records import Records
 
 # Numbers of servers in a list: one service, ten, a hundred, and all of the target.
@@ -540,13 +540,13 @@
             probe.bind(("127.0.0.1", 0))
             port = probe.getsockname()[1]
             probe.close()
-            program = program_of(Variant(name="slopes"), Path(folder))
+            program = prepare_program(Variant(name="slopes"), Path(folder))
             node = NodeProcess("node", 0, 0, "a", port, Path(folder), program)
             node.configure(experiment, Variant(name="slopes"), listing, list_port, NODES, NODES // 3, 1)
             connections: list[socket.socket] = []
             try:
                 await node.start()
-                await node.until_ready()
+                await node.wait_until_ready()
                 assert node.process is not None
                 pid = node.process.pid
                 start_us = _used_us(pid)
@@ -554,7 +554,7 @@
                 settled_us = _used_us(pid)
                 await asyncio.sleep(IDLE_FOR)
                 idle_us = (_used_us(pid) - settled_us) / IDLE_FOR
-                megabytes = process_figures(pid)[1]
+                megabytes = process_usage(pid)[1]
                 loop = asyncio.get_running_loop()
                 for _ in range(callers):
                     connection = socket.socket()
@@ -563,7 +563,7 @@
                     await loop.sock_connect(connection, ("127.0.0.1", port))
                     await loop.sock_sendall(connection, b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
                     await loop.sock_recv(connection, 4096)
-                with_callers = process_figures(pid)[1]
+                with_callers = process_usage(pid)[1]
                 return _NodeCosts(
                     start_us, idle_us, megabytes, with_callers, len(os.listdir(f"/proc/{pid}/fd"))
                 )
@@ -637,8 +637,8 @@
     with tempfile.TemporaryDirectory() as folder:
         file = Path(folder) / "calls.toml"
         file.write_text(CALLS, encoding="utf-8")
-        played = Play(file, Path(folder) / "out", overrides={"load.rate": rate}, say=_nothing)
-        outcome, _ = on_clock(played.play())
+        played = ExperimentRunner(file, Path(folder) / "out", overrides={"load.rate": rate}, say=_nothing)
+        outcome, _ = on_clock(played.run())
     if outcome.interrupted:
         raise ExperimentError(f"the experiment at {rate} calls per second was interrupted")
 
--- a/coraldeal/rig/soak/play.py
+++ b/coraldeal/rig/soak/play.py
@@ -16,7 +16,7 @@
 from coraldeal.rig.nodes import ROOT, Program
 from coraldeal.rig.records import TryRecord
 from coraldeal.rig.rules import RuleChecker
-from coraldeal.rig.run import Played, Run
+from coraldeal.rig.run import Run, RunResult
 from coraldeal.rig.soak.draw import Drawn, draw
 from coraldeal.rig.soak.shim import ShimError, build
 
@@ -119,19 +119,19 @@
     elif drawn.faults is not None:
         not_run.append(f"system calls and clock: {reason}")
     run = Run(drawn.experiment, Variant(name="soak"), seed, folder, program=program)
-    played = await run.play()
+    played = await run.execute()
     if drawn.faults is not None and library is not None:
         not_run += _faults_not_forced(drawn, log)
-    checker = RuleChecker(played.experiment, played.book, played.marks, played.start_us)
+    checker = RuleChecker(played.experiment, played.records, played.node_events, played.start_us)
     violations = find_violations(played, checker)
     if violations:
         _write_trace(played, checker, folder)
-    late_ms = max((record.late_us // 1000 for record in played.book.late), default=0)
+    late_ms = max((record.late_us // 1000 for record in played.records.late), default=0)
     about = f"{_describe(drawn)}; the rig itself was up to {late_ms} ms late"
     return Verdict(seed, about, violations, not_run)
 
 
-def _write_trace(played: Played, checker: RuleChecker, folder: Path) -> None:
+def _write_trace(played: RunResult, checker: RuleChecker, folder: Path) -> None:
     """Write the records of a failed seed, and its violations with the records of their requests."""
     lines = [
         line
@@ -139,7 +139,7 @@
         for line in (f"{violation.rule}: {violation.what}", *violation.trace)
     ]
     (folder / "violations.txt").write_text("\n".join(lines) + "\n", encoding="utf-8")
-    played.book.write(folder / "books.msgpack")
+    played.records.write(folder / "books.msgpack")
 
 
 def _faults_not_forced(drawn: Drawn, log: Path) -> list[str]:
@@ -161,7 +161,7 @@
     return ", ".join(words)
 
 
-def find_violations(played: Played, checker: RuleChecker) -> list[str]:
+def find_violations(played: RunResult, checker: RuleChecker) -> list[str]:
     """The violations of a run: broken rules, crashes, too much memory, and nodes out of use."""
     first = {violation.rule: violation for violation in reversed(checker.check())}
     violations = [f"{rule}: {checker.counts[rule]}, first {first[rule].what}" for rule in first]
@@ -173,11 +173,11 @@
     return violations + _nodes_out_of_use(played)
 
 
-def _nodes_out_of_use(played: Played) -> list[str]:
+def _nodes_out_of_use(played: RunResult) -> list[str]:
     """Nodes that for a while served none of the requests of a class that they got."""
     violations = []
     ended: dict[tuple[int, str], list[TryRecord]] = defaultdict(list)
-    for record in sorted(played.book.tries, key=lambda record: record.end_us):
+    for record in sorted(played.records.tries, key=lambda record: record.end_us):
         if record.status and record.node >= 0:
             ended[record.node, record.request_class].append(record)
     for (node, request_class), tries in ended.items():
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -16,7 +16,7 @@
 from coraldeal.rig.experiment import Experiment, Variant, World
 from coraldeal.rig.records import ListRecord, Records, TryRecord
 from coraldeal.rig.rules import RuleChecker
-from coraldeal.rig.run import Played
+from coraldeal.rig.run import RunResult
 from coraldeal.rig.soak.draw import LAST_FAULT_AT, draw
 from coraldeal.rig.soak.play import Options, Verdict, find_violations, format_verdict, replay_command, soak
 from coraldeal.rig.soak.shim import ShimError, SystemFaults, build
@@ -131,10 +131,10 @@
 
         for tries, expected in ((rejected(30), 1), (rejected(10), 0), ([*rejected(30), make_try()], 1)):
             experiment = Experiment(name="x")
-            played = Played(
+            played = RunResult(
                 experiment, Variant(name="x"), 1, START, START + 20 * SECOND, Records(tries=tries), [], {}, []
             )
-            checker = RuleChecker(experiment, played.book, played.marks, START)
+            checker = RuleChecker(experiment, played.records, played.node_events, START)
             self.assertEqual(len(find_violations(played, checker)), expected)
 
     def test_verdict_of_a_failed_seed_holds_the_command_that_plays_it_again(self) -> None:
