--- a/coraldeal/net/accepting.py
+++ b/coraldeal/net/accepting.py
@@ -1,8 +1,8 @@
-"""Accepting connections at one address, also while the system is short of descriptors or memory.
+"""Accepting connections on one address, with a backoff while the system is short of descriptors or memory.
 
-The event loop's own listener leaves its queue alone for a second after such a failure. Here the pause is a
-few milliseconds at first: a failure that lasts a moment costs the queue no more than that, and one that stays
-does not keep the loop busy.
+After such a failure asyncio's own listener accepts nothing for a second. The backoff here starts at a few
+milliseconds, so that a brief shortage hardly delays the connections in the backlog, and doubles, so that a
+lasting one does not keep the event loop busy.
 """
 
 from __future__ import annotations
@@ -13,100 +13,103 @@
 from collections.abc import Callable
 
 from coraldeal.logs import LogThrottle
-from coraldeal.net.listening import SHORTAGES
+from coraldeal.net.listening import SHORTAGE_ERRNOS
 
 log = logging.getLogger(__name__)
 
-# The pause behind a shortage, in seconds, doubled while it lasts.
-PAUSE_LEAST, PAUSE_MOST = 0.002, 0.1
+# The pause after a shortage, in seconds. It doubles from the first value up to the second while the shortage
+# lasts.
+MIN_BACKOFF, MAX_BACKOFF = 0.002, 0.1
 
 
 class Acceptor:
-    """Takes connections from a listening socket, which it owns, and gives each a protocol.
+    """Accepts connections from a listening socket, which it owns, and creates a protocol for each.
 
-    `at_once`: how many in one turn of the loop. `on_shortage` is called before each pause, to close what is
-    not needed.
+    At most `max_per_turn` connections are accepted in one turn of the event loop. `on_shortage` is called
+    before each backoff, so that connections that are not needed can be closed.
     """
 
     def __init__(
         self,
-        listening: socket.socket,
-        protocol: Callable[[], asyncio.Protocol],
-        at_once: int,
+        listening_socket: socket.socket,
+        protocol_factory: Callable[[], asyncio.Protocol],
+        max_per_turn: int,
         on_shortage: Callable[[], None] = lambda: None,
     ) -> None:
-        self.listening = listening
-        self.protocol = protocol
-        self.at_once = at_once
+        self.listening_socket = listening_socket
+        self.protocol_factory = protocol_factory
+        self.max_per_turn = max_per_turn
         self.on_shortage = on_shortage
         self.loop = asyncio.get_running_loop()
-        # Connections taken that have no transport yet.
-        self.coming: set[asyncio.Task[None]] = set()
-        self.pause = PAUSE_LEAST
-        self.resume: asyncio.TimerHandle | None = None
-        # How many tries met a shortage, and when that was last told.
+        # Accepted connections that have no transport yet.
+        self.pending: set[asyncio.Task[None]] = set()
+        self.backoff = MIN_BACKOFF
+        self.resume_timer: asyncio.TimerHandle | None = None
+        # How many accepts failed because of a shortage; `throttle` limits the log lines about them.
         self.shortages = 0
         self.throttle = LogThrottle()
-        listening.setblocking(False)
+        listening_socket.setblocking(False)
 
     @property
     def sockets(self) -> tuple[socket.socket, ...]:
-        return (self.listening,)
+        """The listening socket, as asyncio.Server returns it."""
+        return (self.listening_socket,)
 
     def start(self) -> None:
-        self.loop.add_reader(self.listening.fileno(), self.take)
+        """Start to accept connections; the socket must already listen."""
+        self.loop.add_reader(self.listening_socket.fileno(), self.accept_pending)
 
     def close(self) -> None:
-        """Take no more; what was taken goes on."""
-        if self.resume is not None:
-            self.resume.cancel()
-            self.resume = None
-        if self.listening.fileno() >= 0:
-            self.loop.remove_reader(self.listening.fileno())
-            self.listening.close()
-
-    def take(self) -> None:
-        """Some of what lies in the queue."""
-        for _ in range(self.at_once):
+        """Accept no more connections and close the listening socket; accepted connections continue."""
+        if self.resume_timer is not None:
+            self.resume_timer.cancel()
+            self.resume_timer = None
+        if self.listening_socket.fileno() >= 0:
+            self.loop.remove_reader(self.listening_socket.fileno())
+            self.listening_socket.close()
+
+    def accept_pending(self) -> None:
+        """Accept connections from the backlog, at most `max_per_turn`."""
+        for _ in range(self.max_per_turn):
             try:
-                near, _ = self.listening.accept()
+                accepted, _ = self.listening_socket.accept()
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                if error.errno in SHORTAGES:
-                    self._rest(error)
+                if error.errno in SHORTAGE_ERRNOS:
+                    self._back_off(error)
                     return
-                # A connection that broke while it lay in the queue: the next one may be sound.
+                # A connection that failed while it was in the backlog; the next one may be intact.
                 log.debug("accept failed", extra={"pairs": {"why": error}})
                 continue
-            self.pause = PAUSE_LEAST
-            self._begin(near)
+            self.backoff = MIN_BACKOFF
+            self._start_connection(accepted)
 
-    def _begin(self, near: socket.socket) -> None:
-        near.setblocking(False)
-        task = self.loop.create_task(self._connect(near))
-        self.coming.add(task)
-        task.add_done_callback(self.coming.discard)
+    def _start_connection(self, accepted: socket.socket) -> None:
+        accepted.setblocking(False)
+        task = self.loop.create_task(self._create_transport(accepted))
+        self.pending.add(task)
+        task.add_done_callback(self.pending.discard)
 
-    async def _connect(self, near: socket.socket) -> None:
+    async def _create_transport(self, accepted: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(self.protocol, near)
+            await self.loop.connect_accepted_socket(self.protocol_factory, accepted)
         except OSError as error:
-            log.debug("connection lost as it came", extra={"pairs": {"why": error}})
-            near.close()
+            log.debug("accepted connection failed before it had a transport", extra={"pairs": {"why": error}})
+            accepted.close()
 
-    def _rest(self, error: OSError) -> None:
+    def _back_off(self, error: OSError) -> None:
         self.shortages += 1
         if self.throttle.is_due(self.loop.time()):
-            pairs = {"why": error, "times": self.shortages, "pause_ms": int(self.pause * 1000)}
+            pairs = {"why": error, "times": self.shortages, "pause_ms": int(self.backoff * 1000)}
             log.warning("no connection can be accepted", extra={"pairs": pairs})
         self.on_shortage()
-        if self.resume is None:
-            self.loop.remove_reader(self.listening.fileno())
-            self.resume = self.loop.call_later(self.pause, self._go_on)
-            self.pause = min(2 * self.pause, PAUSE_MOST)
+        if self.resume_timer is None:
+            self.loop.remove_reader(self.listening_socket.fileno())
+            self.resume_timer = self.loop.call_later(self.backoff, self._resume)
+            self.backoff = min(2 * self.backoff, MAX_BACKOFF)
 
-    def _go_on(self) -> None:
-        self.resume = None
+    def _resume(self) -> None:
+        self.resume_timer = None
         self.start()
-        self.take()
+        self.accept_pending()
