--- a/coraldeal/net/listening.py
+++ b/coraldeal/net/listening.py
@@ -1,4 +1,4 @@
-"""How the node opens an address to listen on: one way for callers and for the operators' door."""
+"""Listening sockets of callers, the admin listener and the relay."""
 
 from __future__ import annotations
 
@@ -9,38 +9,43 @@
 
 log = logging.getLogger(__name__)
 
-# Failures of the system's own, over in a moment or when something is closed.
-SHORTAGES = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-# How often an address that can't be opened for a shortage is tried, and how many seconds apart.
-TRIES, AGAIN = 100, 0.05
+# Errors of this system that pass after a moment, or once some descriptor is closed.
+SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
+# How many attempts are made to open a listening socket during a shortage, and the seconds between two of
+# them.
+MAX_OPEN_ATTEMPTS, OPEN_RETRY_INTERVAL = 100, 0.05
 
 
-async def open_listening(host: str, port: int, shared: bool = False) -> socket.socket:
-    """As `listening_socket`; a system that is short of something for a moment is no reason not to start."""
-    for _ in range(TRIES - 1):
+async def open_listening_socket(host: str, port: int, shared: bool = False) -> socket.socket:
+    """Return a socket as `bind_socket` does, with retries while the system is short of resources.
+
+    A brief shortage must not keep the node from starting. Raises OSError if the shortage lasts, or at once
+    for any other failure, such as an address in use.
+    """
+    for _ in range(MAX_OPEN_ATTEMPTS - 1):
         try:
-            return listening_socket(host, port, shared)
+            return bind_socket(host, port, shared)
         except OSError as error:
-            if error.errno not in SHORTAGES:
+            if error.errno not in SHORTAGE_ERRNOS:
                 raise
-            log.debug("no socket to listen on yet", extra={"pairs": {"why": error}})
-        await asyncio.sleep(AGAIN)
-    return listening_socket(host, port, shared)
+            log.debug("listening socket cannot be opened yet", extra={"pairs": {"why": error}})
+        await asyncio.sleep(OPEN_RETRY_INTERVAL)
+    return bind_socket(host, port, shared)
 
 
-def listening_socket(host: str, port: int, shared: bool = False) -> socket.socket:
-    """A bound socket, not yet listening; OSError where the address is taken.
+def bind_socket(host: str, port: int, shared: bool = False) -> socket.socket:
+    """Return a bound TCP socket that does not listen yet; raises OSError if the address is in use.
 
-    `shared`: another process may bind the same address beside this one.
+    `shared`: another process may bind the same address at the same time.
     """
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    listening = socket.socket(family, socket.SOCK_STREAM)
+    bound = socket.socket(family, socket.SOCK_STREAM)
     try:
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
-            listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        listening.bind((host, port))
+            bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        bound.bind((host, port))
     except OSError:
-        listening.close()
+        bound.close()
         raise
-    return listening
+    return bound
