--- a/coraldeal/net/unread.py
+++ b/coraldeal/net/unread.py
@@ -1,7 +1,7 @@
-"""What the system holds of a connection and nobody has read yet.
+"""Checks for bytes and closes that the system has received on a socket and nobody has read yet.
 
-The loop tells of bytes and ends in its own time. Whoever is about to end a connection, or to write on one
-that was at rest, must know what has come by then.
+The event loop reports bytes and closes with a delay. Code that is about to close a connection, or to write on
+one that was idle, has to know what has arrived by then.
 """
 
 from __future__ import annotations
@@ -12,28 +12,28 @@
 
 
 def has_unread(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether something has come and was not read: bytes, a close or a reset."""
-    return bool(_told(transport, select.POLLIN | select.POLLRDHUP))
+    """Return whether bytes, a close or a reset have arrived on the connection and were not read yet."""
+    return bool(_poll_transport(transport, select.POLLIN | select.POLLRDHUP))
 
 
-def has_left(transport: asyncio.BaseTransport | None) -> bool:
-    """Whether the other side has closed, also where bytes that nobody reads stand before its close."""
-    return transport is None or transport.is_closing() or bool(_told(transport, select.POLLRDHUP))
+def has_disconnected(transport: asyncio.BaseTransport | None) -> bool:
+    """Return whether the other side has closed the connection, even if unread bytes precede its close."""
+    return transport is None or transport.is_closing() or bool(_poll_transport(transport, select.POLLRDHUP))
 
 
-def is_readable(near: Any) -> bool:
-    """Whether something waits at a socket: bytes or an end, at a listening one a connection not yet taken."""
-    return bool(_polled(near, select.POLLIN))
+def is_readable(sock: Any) -> bool:
+    """Return whether bytes or a close wait at a socket or, if it listens, a connection in its backlog."""
+    return bool(_poll_socket(sock, select.POLLIN))
 
 
-def _told(transport: asyncio.BaseTransport | None, events: int) -> int:
-    return 0 if transport is None else _polled(transport.get_extra_info("socket"), events)
+def _poll_transport(transport: asyncio.BaseTransport | None, events: int) -> int:
+    return 0 if transport is None else _poll_socket(transport.get_extra_info("socket"), events)
 
 
-def _polled(near: Any, events: int) -> int:
-    """What the system tells of a socket right now; errors and resets are told unasked."""
-    if near is None or near.fileno() < 0:
+def _poll_socket(sock: Any, events: int) -> int:
+    """Return the pending ones of the events; the system always adds errors and resets."""
+    if sock is None or sock.fileno() < 0:
         return 0
     poller = select.poll()
-    poller.register(near.fileno(), events)
-    return next((told for _, told in poller.poll(0)), 0)
+    poller.register(sock.fileno(), events)
+    return next((pending for _, pending in poller.poll(0)), 0)
