--- a/coraldeal/net/bodies.py
+++ b/coraldeal/net/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies too large to be kept whole: the rest of a caller's, and one rule for all who are slow."""
+"""Bodies that are too large to buffer, and the minimum transfer rate of callers and servers."""
 
 from __future__ import annotations
 
@@ -14,145 +14,160 @@
 
 from coraldeal.net.wire import BODY_MOST, BadCall
 
-# Whoever sends or takes may be silent for so many seconds, and must keep up so many bytes a second on top.
-GRACE = 2.0
-SLOWEST = 32_000
-# The same grace for an answer that is not known to be large, once its caller's time is over.
-LATE_GRACE = 0.4
-# The same for those who take. The system keeps up to some MB for a slow taker and tells only when a third of
-# that is free again: at twice the pace above that is a silence of more than ten seconds.
-TAKER_GRACE = 30.0
-# What a body may hold in all, and what is kept of one so that a further attempt is possible: so much, or the
-# lesser figure where all that is kept together has reached its bound. A larger one is passed on as it comes.
-BODY_LARGEST = 64 * 1024 * 1024
-KEPT_MOST = 1024 * 1024
-KEPT_ALL = 4 * 1024 * 1024
-
-# Bytes taken from a connection in one turn of the loop: the loop's own 256 KiB, several times over for each
-# transfer, would make fifty of them hold 60 MB, and turns long.
-AT_ONCE = 64 * 1024
+# A sender or receiver may pause for this many seconds, and must transfer this many bytes a second beyond
+# that allowance.
+GRACE_SECONDS = 2.0
+MIN_BYTES_PER_SECOND = 32_000
+# The grace, in seconds, of an answer that is not known to be large, once its caller's deadline has passed.
+LATE_GRACE_SECONDS = 0.4
+# The grace, in seconds, of a receiver. The system buffers up to some MB for a slow receiver and reports space
+# only when a third of that is free again: a receiver at twice the minimum rate then seems to pause for more
+# than ten seconds.
+RECEIVER_GRACE_SECONDS = 30.0
+# The largest request body, in bytes. Beyond it a request gets 413.
+MAX_BODY_BYTES = 64 * 1024 * 1024
+# How many bytes of one body are buffered so that a further attempt can send it again. A larger body is
+# streamed to the server. While all buffered bodies hold more than the second figure, in bytes, each body may
+# only buffer BODY_MOST.
+MAX_BUFFERED_BODY = 1024 * 1024
+MAX_BUFFERED_TOTAL = 4 * 1024 * 1024
+
+# Bytes read from a connection in one turn of the event loop. The loop's default is 256 KiB, several times
+# over for each transfer: fifty transfers held 60 MB, and turns were long.
+MAX_READ_BYTES = 64 * 1024
 
 T = TypeVar("T")
 
 
 class Progress:
-    """How far one side has come, and until when it must have come further; waits for others don't count."""
+    """Checks that one side of a transfer keeps the minimum rate. Waits for others don't count."""
 
-    __slots__ = ("began", "done", "grace", "last")
+    __slots__ = ("bytes_done", "grace", "last_step_at", "started_at")
 
     def __init__(self, grace: float | None = None) -> None:
-        self.grace = GRACE if grace is None else grace
-        self.began = self.last = asyncio.get_running_loop().time()
-        self.done = 0
+        self.grace = GRACE_SECONDS if grace is None else grace
+        # The start is moved forward by all waits for others. Both times are the event loop's, in seconds.
+        self.started_at = self.last_step_at = asyncio.get_running_loop().time()
+        self.bytes_done = 0
 
-    async def within(self, step: Awaitable[T], size: int = 0) -> T:
-        """The next step, of so many bytes where that is known; TimeoutError where it is too slow."""
+    async def wait_for(self, step: Awaitable[T], size: int = 0) -> T:
+        """Return the result of the next step, which transfers `size` bytes if that is known beforehand.
+
+        Raises TimeoutError if the step, or the transfer so far, is below the minimum rate.
+        """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        self.began += now - self.last
-        self.done += size
-        silent = now + self.grace + size / SLOWEST
-        async with asyncio.timeout_at(min(silent, self.began + self.grace + self.done / SLOWEST)):
+        self.started_at += now - self.last_step_at
+        self.bytes_done += size
+        step_deadline = now + self.grace + size / MIN_BYTES_PER_SECOND
+        async with asyncio.timeout_at(
+            min(step_deadline, self.started_at + self.grace + self.bytes_done / MIN_BYTES_PER_SECOND)
+        ):
             result = await step
-        self.last = loop.time()
+        self.last_step_at = loop.time()
         return result
 
 
-class Due:
-    """Until when an answer that is passed on as it comes must be whole.
+class AnswerDeadline:
+    """The time limit of an answer that is streamed to its caller.
 
-    Its caller's time bounds it, or one that dribbles would never end. One that still goes on then is not cut
-    off, but has to keep up the pace of all who are slow; until it is seen to be large its grace is short, so
-    that what never ends is ended within the half second that a late answer has.
+    The caller's deadline is the limit, or an answer that trickles would never end. An answer that is still
+    being received at the deadline is not cut off, but has to keep the minimum rate. Until it is seen to be
+    large its grace is short, so that an endless answer ends within the half second that a late answer has.
     """
 
-    __slots__ = ("at", "late", "passed", "told")
+    __slots__ = ("bytes_received", "content_length", "deadline", "late_progress")
 
-    def __init__(self, at: float, told: int | None, passed: int) -> None:
-        # By the loop's clock.
-        self.at = at
-        # Bytes of its body: as many as it says that it has, and as have come.
-        self.told = told or 0
-        self.passed = passed
-        # How it has come on since its caller's time was over; None: that is not over.
-        self.late: Progress | None = None
+    def __init__(self, deadline: float, content_length: int | None, bytes_received: int) -> None:
+        # The caller's deadline, in seconds of the event loop's clock.
+        self.deadline = deadline
+        # The declared length of the body (0: unknown) and the bytes of it received so far.
+        self.content_length = content_length or 0
+        self.bytes_received = bytes_received
+        # The progress since the deadline; None before the deadline.
+        self.late_progress: Progress | None = None
 
-    async def within(self, read: Callable[[], Awaitable[bytes]]) -> bytes:
-        """The next piece; TimeoutError where it is too late for it."""
-        if self.late is None:
+    async def wait_for(self, read: Callable[[], Awaitable[bytes]]) -> bytes:
+        """Return the next piece; raises TimeoutError if it does not arrive in time."""
+        if self.late_progress is None:
             try:
-                async with asyncio.timeout_at(self.at):
+                async with asyncio.timeout_at(self.deadline):
                     piece = await read()
-                self.passed += len(piece)
+                self.bytes_received += len(piece)
                 return piece
             except TimeoutError:
-                self.late = Progress()
-        self.late.grace = GRACE if max(self.told, self.passed) > BODY_MOST else LATE_GRACE
+                self.late_progress = Progress()
+        self.late_progress.grace = (
+            GRACE_SECONDS if max(self.content_length, self.bytes_received) > BODY_MOST else LATE_GRACE_SECONDS
+        )
         try:
-            piece = await self.late.within(read())
+            piece = await self.late_progress.wait_for(read())
         except TimeoutError:
             raise TimeoutError("it was not whole in its caller's time, and its server is too slow") from None
-        self.late.done += len(piece)
-        self.passed += len(piece)
+        self.late_progress.bytes_done += len(piece)
+        self.bytes_received += len(piece)
         return piece
 
 
-def end_by_reset(transport: asyncio.BaseTransport | None, on: bool) -> None:
-    """Whether a close of this connection is a reset, which nobody takes for the end of a whole answer."""
-    near = None if transport is None else transport.get_extra_info("socket")
-    if near is not None and near.fileno() >= 0:
-        near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", on, 0))
+def set_reset_on_close(transport: asyncio.BaseTransport | None, enabled: bool) -> None:
+    """Set whether closing this connection sends a reset, which no client takes for the end of an answer."""
+    sock = None if transport is None else transport.get_extra_info("socket")
+    if sock is not None and sock.fileno() >= 0:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", enabled, 0))
 
 
-def read_little(transport: asyncio.BaseTransport) -> None:
-    """Have the loop take no more at once from this connection than `AT_ONCE`."""
-    # The selector loop's own attribute; another loop's transport may be without it.
+def limit_read_size(transport: asyncio.BaseTransport) -> None:
+    """Limit what the event loop reads from this connection at once to `MAX_READ_BYTES`."""
+    # An attribute of the selector event loop's transports; those of other loops may lack it.
     if hasattr(transport, "max_size"):
-        transport.max_size = AT_ONCE
+        transport.max_size = MAX_READ_BYTES
 
 
-class Body:
-    """What is still to come of a caller's body, behind the part that was kept."""
+class StreamedBody:
+    """The rest of a caller's body, behind the bytes that were buffered; it is streamed to the server."""
 
-    __slots__ = ("begun", "content", "fault", "passed", "progress", "read_in_all")
+    __slots__ = ("bytes_read", "caller_error", "content", "is_sent", "is_started", "progress")
 
-    def __init__(self, content: StreamReader, kept: int, progress: Progress) -> None:
+    def __init__(self, content: StreamReader, buffered_bytes: int, progress: Progress) -> None:
         self.content = content
         self.progress = progress
-        self.read_in_all = kept
-        # Whether some of it was passed on: then no further attempt can carry the whole.
-        self.begun = False
-        # Whether its last byte was handed to a server's connection.
-        self.passed = False
-        # Why it ended early, where that is the caller's doing.
-        self.fault: BadCall | None = None
+        self.bytes_read = buffered_bytes
+        # Whether some of the rest was read for a server: no further attempt can send the complete body then.
+        self.is_started = False
+        # Whether the last byte was passed to a server's connection.
+        self.is_sent = False
+        # Why the body ended early, if the caller caused that.
+        self.caller_error: BadCall | None = None
 
     async def read(self) -> bytes:
-        """The next piece, empty at the end; BadCall where the caller is too slow or breaks off."""
-        self.begun = True
+        """Return the next piece, empty at the end.
+
+        Raises BadCall if the caller is too slow, sends too much or disconnects.
+        """
+        self.is_started = True
         try:
-            piece = await next_piece(self.content, self.progress)
-        except BadCall as bad:
-            self.fault = bad
+            piece = await read_piece(self.content, self.progress)
+        except BadCall as error:
+            self.caller_error = error
             raise
         except ConnectionError:
-            # Taken for a server's end of the connection, this would be held against that server.
-            self.fault = BadCall(400, "its caller has gone")
-            raise self.fault from None
-        self.read_in_all += len(piece)
-        if self.read_in_all > BODY_LARGEST:
-            self.fault = BadCall(413, f"the body is longer than {BODY_LARGEST} bytes")
-            raise self.fault
+            # As a ConnectionError it would be counted as a failure of the server.
+            self.caller_error = BadCall(400, "the caller disconnected before the end of the body")
+            raise self.caller_error from None
+        self.bytes_read += len(piece)
+        if self.bytes_read > MAX_BODY_BYTES:
+            self.caller_error = BadCall(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
+            raise self.caller_error
         return piece
 
 
-async def next_piece(content: StreamReader, progress: Progress) -> bytes:
-    """What came next of a body, empty at its end; BadCall where it is too slow or can't be read."""
+async def read_piece(content: StreamReader, progress: Progress) -> bytes:
+    """Return the next piece of a body, empty at its end; raises BadCall if it is too slow or malformed."""
     try:
-        piece = await progress.within(content.readany())
+        piece = await progress.wait_for(content.readany())
     except TimeoutError:
-        raise BadCall(408, "the body did not come in time") from None
+        raise BadCall(408, "the body was not received in time") from None
     except (web.RequestPayloadError, HttpProcessingError):
-        raise BadCall(400, "the body can't be read") from None
-    progress.done += len(piece)
+        raise BadCall(400, "the body is malformed") from None
+    progress.bytes_done += len(piece)
     return piece
