--- a/coraldeal/net/inquiry.py
+++ b/coraldeal/net/inquiry.py
@@ -1,4 +1,4 @@
-"""An inquiry's life, from a caller's request to the one answer."""
+"""The course of an inquiry, from a caller's request through its attempts to its one answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Send(NamedTuple):
-    """The module's choice of a further attempt: for how long from when on."""
+    """The balancer's choice to start an attempt, with its timeout and the time of the choice."""
 
     server: ServerId
     timeout_us: int
@@ -25,127 +25,138 @@
 
 
 class Inquiry:
-    """What is kept of one inquiry while it lasts."""
+    """One inquiry in progress."""
 
     __slots__ = (
-        "attempt",
         "attempt_number",
-        "begun",
+        "attempt_started",
+        "attempt_task",
+        "cancel_requested",
         "choice",
-        "due_us",
-        "is_here",
-        "left",
-        "name",
+        "client_left",
+        "deadline_us",
+        "id",
+        "is_connected",
         "request_id",
         "server",
-        "timer",
-        "withdrawn",
+        "timeout",
     )
 
     def __init__(
         self,
-        name: InquiryId,
+        inquiry_id: InquiryId,
         request_id: str,
-        is_here: Callable[[], bool],
+        is_connected: Callable[[], bool],
         loop: asyncio.AbstractEventLoop,
     ) -> None:
-        self.name = name
+        self.id = inquiry_id
         self.request_id = request_id
-        # Whether its client still waits, as the system knows it, and whether it was seen to have left.
-        self.is_here = is_here
-        self.left = False
+        # Asks the system whether the client is still connected; `client_left`: it was seen to disconnect.
+        self.is_connected = is_connected
+        self.client_left = False
+        # The balancer's next choice.
         self.choice: asyncio.Future[Send | Answer] = loop.create_future()
         self.attempt_number = 0
-        # Whom the last attempt was for.
+        # The server of the last attempt.
         self.server: ServerId = ""
-        # The attempt under way, and whether it is to be stopped.
-        self.attempt: asyncio.Task[AttemptEnd] | None = None
-        self.withdrawn = False
-        # Whether something of that attempt may have been written.
-        self.begun = False
-        # Until when its client waits, by the node's clock.
-        self.due_us = 0
-        # What ends it unanswered otherwise; None before it began.
-        self.timer: asyncio.Timeout | None = None
+        # The current attempt, and whether it is to be cancelled before it has a task.
+        self.attempt_task: asyncio.Task[AttemptEnd] | None = None
+        self.cancel_requested = False
+        # Whether bytes of the current attempt may have been written.
+        self.attempt_started = False
+        # The client's deadline, by the node's clock.
+        self.deadline_us = 0
+        # Expires if nothing else ends the inquiry; None before the inquiry started.
+        self.timeout: asyncio.Timeout | None = None
 
     def choose(self, choice: Send | Answer) -> None:
-        """The module has chosen; the inquiry's task goes on from the loop."""
+        """Pass the balancer's choice to the inquiry's task, which continues from the event loop."""
         if not self.choice.done():
             self.choice.set_result(choice)
 
-    def withdraw(self, attempt: int) -> None:
-        """Stop waiting for the attempt under way, or not yet begun; its end is told from the loop."""
-        if self.attempt is None:
-            self.withdrawn = attempt == self.attempt_number
+    def cancel(self, attempt: int) -> None:
+        """Cancel the current attempt or one not yet started; its end is reported from the event loop."""
+        if self.attempt_task is None:
+            self.cancel_requested = attempt == self.attempt_number
         elif attempt == self.attempt_number:
-            self.attempt.get_loop().call_soon(self.attempt.cancel)
+            self.attempt_task.get_loop().call_soon(self.attempt_task.cancel)
 
-    def begin(self) -> bool:
-        """Whether the attempt may write its first byte; if so it has begun.
+    def start_attempt(self) -> bool:
+        """Return whether the attempt may write its first byte; it counts as started then.
 
-        What waited for a connection while its client left must not be sent on: nobody wants it any more. The
-        loop has not seen every departure by then, nor does it look where a body waits unread.
+        An attempt that waited for a connection while its client disconnected must not be sent, since nobody
+        wants its answer. The event loop has not seen every disconnect by then, and it does not look for one
+        behind an unread body, so the system is asked.
         """
-        self.left = self.left or not self.is_here()
-        self.begun = not self.left
-        return self.begun
+        self.client_left = self.client_left or not self.is_connected()
+        self.attempt_started = not self.client_left
+        return self.attempt_started
 
 
 class Inquiries:
-    """All inquiries in hand."""
+    """All inquiries in progress."""
 
     def __init__(self, servers: Servers) -> None:
         self.servers = servers
-        self.in_hand: dict[InquiryId, Inquiry] = {}
-        # The callers' own ids of these.
+        self.in_progress: dict[InquiryId, Inquiry] = {}
+        # The callers' request ids of the inquiries in progress.
         self.open_ids: set[str] = set()
-        self.next_name = 0
-        # When the node ends: no answer may come later than that.
-        self.until: int | None = None
+        self.next_id = 0
+        # The time by which everything must be answered, by the node's clock; None unless the node ends.
+        self.answer_by_us: int | None = None
         self.balancer: Balancer | None = None
-        # Tracks that must not run twice.
-        self.irreversible: dict[str, None] = {}
+        # The names of request classes that must not be executed twice.
+        self.not_idempotent_classes: dict[str, None] = {}
 
-    def end_by(self, until: int) -> None:
-        """The node ends: what is in hand is answered by then too, however long its caller would wait.
+    def answer_all_by(self, answer_by_us: int) -> None:
+        """Have every inquiry answered by this time of the node's clock, even if its deadline is later.
 
-        Guards against a kill while callers wait whose patience is longer than the end may take.
+        The node ends, and callers whose deadline is later than the time allowed for that would otherwise
+        still wait when the process is killed.
         """
-        self.until = until
-        at = self.servers.loop.time() + (until - self.servers.clock()) / 1e6
-        for inquiry in self.in_hand.values():
-            due = None if inquiry.timer is None else inquiry.timer.when()
-            # One whose body is still coming has no time of its own yet, nor one that is over.
-            if inquiry.timer is not None and due is not None and due > at and not inquiry.timer.expired():
+        self.answer_by_us = answer_by_us
+        answer_by = self.servers.loop.time() + (answer_by_us - self.servers.clock()) / 1e6
+        for inquiry in self.in_progress.values():
+            expires_at = None if inquiry.timeout is None else inquiry.timeout.when()
+            # While a body is being received the timeout has no time yet; an expired one can't be moved.
+            if (
+                inquiry.timeout is not None
+                and expires_at is not None
+                and expires_at > answer_by
+                and not inquiry.timeout.expired()
+            ):
                 with contextlib.suppress(RuntimeError):
-                    inquiry.timer.reschedule(at)
+                    inquiry.timeout.reschedule(answer_by)
 
-    async def live(self, call: Call, left_us: int, unread_us: int, is_here: Callable[[], bool]) -> Answer:
-        """One inquiry, from its arrival to its final answer. The task is cancelled when the client leaves.
+    async def handle_inquiry(
+        self, call: Call, time_left_us: int, unread_us: int, is_connected: Callable[[], bool]
+    ) -> Answer:
+        """Return the final answer of one inquiry. The task is cancelled when the client disconnects.
 
-        `unread_us` is how long it lay here before. The module is not told: it takes a try with less time left
-        than usual for a later one, and would turn all of them away after each short stand-still of the node.
+        `unread_us` is how long the request was unread on this node. The balancer is not informed of it: it
+        takes an inquiry with less time left than usual for a retry, and would reject all of them after each
+        short stall of the node.
         """
         balancer = self.balancer
         assert balancer is not None
         if call.request_id in self.open_ids:
-            # Guards the open one: servers would take this for a second copy of it.
+            # Servers would take this request for a copy of the one in progress.
             return failure(409)
         loop = asyncio.get_running_loop()
-        name = self.next_name
-        self.next_name += 1
-        inquiry = self.in_hand[name] = Inquiry(name, call.request_id, is_here, loop)
+        inquiry_id = self.next_id
+        self.next_id += 1
+        inquiry = self.in_progress[inquiry_id] = Inquiry(inquiry_id, call.request_id, is_connected, loop)
         self.open_ids.add(call.request_id)
         try:
-            # The module answers before the patience ends. The time-out guards against a day when it does not,
-            # or when so much of the patience was over before that it does so too late, or when the node ends.
-            wait_us = left_us - unread_us
-            if self.until is not None:
-                wait_us = min(wait_us, self.until - self.servers.clock())
-            inquiry.due_us = self.servers.clock() + wait_us
-            async with asyncio.timeout(wait_us / 1e6) as timer:
-                inquiry.timer = timer
-                balancer.inquiry_arrived(name, call.track, call.tenant, left_us, call.repeat)
+            # The balancer answers before the deadline. The timeout guards against a balancer that does not,
+            # or that does so too late since much of the time passed unread, and against the node's end.
+            wait_us = time_left_us - unread_us
+            if self.answer_by_us is not None:
+                wait_us = min(wait_us, self.answer_by_us - self.servers.clock())
+            inquiry.deadline_us = self.servers.clock() + wait_us
+            async with asyncio.timeout(wait_us / 1e6) as timeout:
+                inquiry.timeout = timeout
+                balancer.inquiry_arrived(inquiry_id, call.track, call.tenant, time_left_us, call.repeat)
                 while True:
                     choice = await inquiry.choice
                     if isinstance(choice, Answer):
@@ -154,86 +165,91 @@
                             log.debug("answered by decision", extra={"pairs": pairs})
                         return choice
                     inquiry.server = choice.server
-                    if inquiry.withdrawn:
+                    if inquiry.cancel_requested:
                         end = AttemptEnd(Outcome.NOT_STARTED, 0)
                     else:
-                        inquiry.begun = False
-                        inquiry.attempt = loop.create_task(
-                            self._attempt(inquiry, call, choice, wait_us, timer)
+                        inquiry.attempt_started = False
+                        inquiry.attempt_task = loop.create_task(
+                            self._attempt(inquiry, call, choice, wait_us, timeout)
                         )
-                        # Shielded: an attempt outlives its inquiry where the deployment allows no
-                        # withdrawals.
-                        end = await asyncio.shield(inquiry.attempt)
-                    inquiry.attempt = None
+                        # Shielded: the attempt outlives its inquiry if the settings do not allow cancelling.
+                        end = await asyncio.shield(inquiry.attempt_task)
+                    inquiry.attempt_task = None
                     inquiry.choice = loop.create_future()
                     if call.rest is not None and end.outcome is not Outcome.SERVED:
-                        if call.rest.fault is not None:
-                            # The caller's own doing says nothing of the server.
-                            self._attempt_ended(inquiry, end, over=True)
-                            return Answer(call.rest.fault.status)
-                        if call.rest.begun:
-                            # No further attempt can carry all of it.
-                            balancer.body_not_replayable(name)
-                    if inquiry.left:
-                        # Found out as its attempt was to begin; nobody hears this.
-                        self._attempt_ended(inquiry, end, over=True)
+                        if call.rest.caller_error is not None:
+                            # The caller's error says nothing about the server.
+                            self._report_attempt_end(inquiry, end, is_final=True)
+                            return Answer(call.rest.caller_error.status)
+                        if call.rest.is_started:
+                            # No further attempt can send the complete body.
+                            balancer.body_not_replayable(inquiry_id)
+                    if inquiry.client_left:
+                        # Detected when the attempt was about to start; nobody receives this answer.
+                        self._report_attempt_end(inquiry, end, is_final=True)
                         return failure(499)
-                    self._attempt_ended(inquiry, end, over=end.outcome is Outcome.SERVED)
+                    self._report_attempt_end(inquiry, end, is_final=end.outcome is Outcome.SERVED)
                     if end.outcome is Outcome.SERVED and end.answer is not None:
                         return end.answer
         except TimeoutError:
-            log.warning("patience over unanswered", extra={"pairs": {"inquiry": name, "track": call.track}})
-            self._left(inquiry)
+            log.warning(
+                "patience over unanswered", extra={"pairs": {"inquiry": inquiry_id, "track": call.track}}
+            )
+            self._handle_disconnect(inquiry)
             return failure(504)
         except asyncio.CancelledError:
-            self._left(inquiry)
+            self._handle_disconnect(inquiry)
             raise
         except Exception:
-            # A bug must not cost the other inquiries, nor this one its answer.
-            log.exception("inquiry failed", extra={"pairs": {"inquiry": name, "track": call.track}})
-            self._left(inquiry)
+            # A bug must not affect other inquiries, and this one needs an answer.
+            log.exception("inquiry failed", extra={"pairs": {"inquiry": inquiry_id, "track": call.track}})
+            self._handle_disconnect(inquiry)
             return failure(500)
         finally:
-            if inquiry.attempt is None:
-                self._over(inquiry)
+            if inquiry.attempt_task is None:
+                self._remove(inquiry)
 
     async def _attempt(
-        self, inquiry: Inquiry, call: Call, choice: Send, wait_us: int, timer: asyncio.Timeout
+        self, inquiry: Inquiry, call: Call, choice: Send, wait_us: int, timeout: asyncio.Timeout
     ) -> AttemptEnd:
-        """One attempt; where the body is still to come, times run from its last byte on."""
+        """Run one attempt. If its body is streamed, timeouts start at the last byte of the body."""
         balancer = self.balancer
         assert balancer is not None
 
-        def may_begin() -> bool:
-            return balancer.may_start_attempt(inquiry.name) and inquiry.begin()
+        def may_start() -> bool:
+            return balancer.may_start_attempt(inquiry.id) and inquiry.start_attempt()
 
         if call.rest is None:
 
-            def message() -> bytes:
-                """With the time left when its first byte is written: a connection may be long in coming."""
-                due_us = min(choice.chosen_at_us + choice.timeout_us, inquiry.due_us)
-                return call.written(due_us - self.servers.clock())
+            def encode_message() -> bytes:
+                """Called before the first byte is written, since the wait for a connection uses up time."""
+                deadline_us = min(choice.chosen_at_us + choice.timeout_us, inquiry.deadline_us)
+                return call.written(deadline_us - self.servers.clock())
 
             return await self.servers.attempt(
                 choice.server,
-                message,
+                encode_message,
                 choice.timeout_us,
-                careful=call.track in self.irreversible,
-                may_begin=may_begin,
+                careful=call.track in self.not_idempotent_classes,
+                may_begin=may_start,
             )
         first_piece = call.written(min(choice.timeout_us, wait_us))
-        balancer.body_stream_started(inquiry.name)
-        timer.reschedule(None)
-
-        def count_again() -> None:
-            left_us = wait_us if self.until is None else min(wait_us, self.until - self.servers.clock())
-            # The inquiry may be over while its attempt is still out.
+        balancer.body_stream_started(inquiry.id)
+        timeout.reschedule(None)
+
+        def restart_timeout() -> None:
+            time_left_us = (
+                wait_us
+                if self.answer_by_us is None
+                else min(wait_us, self.answer_by_us - self.servers.clock())
+            )
+            # The inquiry may be finished while its attempt is still running.
             with contextlib.suppress(RuntimeError):
-                timer.reschedule(self.servers.loop.time() + left_us / 1e6)
+                timeout.reschedule(self.servers.loop.time() + time_left_us / 1e6)
 
-        def sent() -> None:
-            count_again()
-            balancer.body_stream_ended(inquiry.name)
+        def handle_body_sent() -> None:
+            restart_timeout()
+            balancer.body_stream_ended(inquiry.id)
 
         try:
             return await self.servers.attempt(
@@ -241,50 +257,53 @@
                 first_piece,
                 min(choice.timeout_us, wait_us),
                 call=call,
-                on_body_sent=sent,
-                careful=call.track in self.irreversible,
-                may_begin=may_begin,
+                on_body_sent=handle_body_sent,
+                careful=call.track in self.not_idempotent_classes,
+                may_begin=may_start,
             )
         finally:
-            if timer.when() is None:
-                count_again()
+            if timeout.when() is None:
+                restart_timeout()
 
-    def _attempt_ended(self, inquiry: Inquiry, end: AttemptEnd, over: bool) -> None:
+    def _report_attempt_end(self, inquiry: Inquiry, end: AttemptEnd, is_final: bool) -> None:
         assert self.balancer is not None
         number = inquiry.attempt_number
         inquiry.attempt_number += 1
-        inquiry.withdrawn = False
+        inquiry.cancel_requested = False
         if log.isEnabledFor(logging.DEBUG):
             pairs = {"request": inquiry.request_id, "attempt": number, "server": inquiry.server}
-            pairs |= {"outcome": end.outcome.value, "took_ms": end.latency_us // 1000, "last": over}
+            pairs |= {"outcome": end.outcome.value, "took_ms": end.latency_us // 1000, "last": is_final}
             log.debug("attempt ended", extra={"pairs": pairs})
-        self.balancer.attempt_ended(inquiry.name, number, end.outcome, end.latency_us, over, end.report)
+        self.balancer.attempt_ended(inquiry.id, number, end.outcome, end.latency_us, is_final, end.report)
 
-    def _left(self, inquiry: Inquiry) -> None:
-        """The client is gone: tell the module, and the end of an attempt that is still out when it comes."""
+    def _handle_disconnect(self, inquiry: Inquiry) -> None:
+        """Report the disconnect to the balancer, and later the end of an attempt that is still running."""
         assert self.balancer is not None
-        inquiry.left = True
-        self.balancer.client_disconnected(inquiry.name)
+        inquiry.client_left = True
+        self.balancer.client_disconnected(inquiry.id)
         choice = inquiry.choice
-        if inquiry.attempt is not None:
-            if not inquiry.begun:
-                # What was never written needs no withdrawal, and is stopped also where none are allowed.
-                inquiry.attempt.cancel()
-            inquiry.attempt.add_done_callback(lambda attempt: self._late_end(inquiry, attempt))
+        if inquiry.attempt_task is not None:
+            if not inquiry.attempt_started:
+                # Nothing was written, so the attempt is stopped even if the settings do not allow cancelling.
+                inquiry.attempt_task.cancel()
+            inquiry.attempt_task.add_done_callback(lambda task: self._late_attempt_ended(inquiry, task))
         elif choice.done() and not choice.cancelled() and isinstance(choice.result(), Send):
-            # Chosen but never begun.
-            self._attempt_ended(inquiry, AttemptEnd(Outcome.NOT_STARTED, 0), over=True)
+            # The attempt was chosen but never started.
+            self._report_attempt_end(inquiry, AttemptEnd(Outcome.NOT_STARTED, 0), is_final=True)
 
-    def _over(self, inquiry: Inquiry) -> None:
-        if self.in_hand.pop(inquiry.name, None) is not None:
+    def _remove(self, inquiry: Inquiry) -> None:
+        if self.in_progress.pop(inquiry.id, None) is not None:
             self.open_ids.discard(inquiry.request_id)
 
-    def _late_end(self, inquiry: Inquiry, attempt: asyncio.Task[AttemptEnd]) -> None:
-        self._over(inquiry)
-        if not attempt.cancelled() and attempt.exception() is None:
-            answer = attempt.result().answer
+    def _late_attempt_ended(self, inquiry: Inquiry, task: asyncio.Task[AttemptEnd]) -> None:
+        """Finish an inquiry whose attempt outlived it."""
+        self._remove(inquiry)
+        if not task.cancelled() and task.exception() is None:
+            answer = task.result().answer
             if answer is not None and answer.rest is not None:
                 answer.rest.close()
-        # An attempt that failed by a bug was logged with its inquiry; its server's place must be free again.
-        broken = attempt.cancelled() or attempt.exception() is not None
-        self._attempt_ended(inquiry, AttemptEnd(Outcome.RESET, 0) if broken else attempt.result(), over=True)
+        # A bug in the attempt was logged with its inquiry; the attempt must still stop counting as in flight.
+        failed = task.cancelled() or task.exception() is not None
+        self._report_attempt_end(
+            inquiry, AttemptEnd(Outcome.RESET, 0) if failed else task.result(), is_final=True
+        )
