--- a/coraldeal/net/callers.py
+++ b/coraldeal/net/callers.py
@@ -1,4 +1,4 @@
-"""The listener: callers' connections, their requests and the answers."""
+"""The node's listener for callers: their connections, requests and answers."""
 
 from __future__ import annotations
 
@@ -20,80 +20,81 @@
 from coraldeal.logs import LogThrottle
 from coraldeal.net.accepting import Acceptor
 from coraldeal.net.bodies import (
-    BODY_LARGEST,
-    KEPT_ALL,
-    KEPT_MOST,
-    TAKER_GRACE,
-    Body,
-    Due,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY,
+    MAX_BUFFERED_TOTAL,
+    RECEIVER_GRACE_SECONDS,
+    AnswerDeadline,
     Progress,
-    end_by_reset,
-    next_piece,
-    read_little,
+    StreamedBody,
+    limit_read_size,
+    read_piece,
+    set_reset_on_close,
 )
-from coraldeal.net.figures import Figures
-from coraldeal.net.listening import open_listening
+from coraldeal.net.counters import Counters
+from coraldeal.net.listening import open_listening_socket
 from coraldeal.net.servers import Rest, Spoilt
-from coraldeal.net.unread import has_left, has_unread, is_readable
+from coraldeal.net.unread import has_disconnected, has_unread, is_readable
 from coraldeal.net.wire import BODY_MOST, READY_PATH, Answer, BadCall, Call, read_call, track_of
 
 log = logging.getLogger(__name__)
 
-# For how many seconds a connection may bring nothing, and a head may keep coming from its first byte on:
-# neither who says nothing nor who stops half-way, nor one who has asked and stays, may hold a descriptor
-# for long. Bodies go by the rule of progress.
-QUIET_LONG = 2.5
-HEAD_LONG = 3.0
-# After how many seconds a silence is looked at again at whose end something lay unread.
-UNREAD_AGAIN = 0.1
-# For how many seconds what a caller still sends is read behind an early answer.
-LINGER = 5.0
-# Connections taken in one turn of the loop at the most, fewer where the reserve of descriptors must cover a
-# rush, and how many the system holds ready meanwhile.
-ACCEPT_AT_ONCE = 16
+# For how many seconds a connection may be idle, before its first request or after an answer, and how many
+# seconds a request's head may take from its first byte on. Without these limits idle and stalled callers
+# would hold file descriptors. Bodies must keep a minimum rate instead, see coraldeal.net.bodies.
+IDLE_TIMEOUT = 2.5
+HEAD_TIMEOUT = 3.0
+# After how many seconds an idle timeout is checked again if it expired while something was unread.
+UNREAD_RECHECK_INTERVAL = 0.1
+# For how many seconds the body that a caller still sends is read after an early answer.
+LINGER_SECONDS = 5.0
+# The maximum of connections accepted in one turn of the event loop. It is lower where the descriptor reserve
+# is too small for a rush of callers.
+MAX_ACCEPTS_PER_TURN = 16
+# How many connections the system holds until they are accepted.
 BACKLOG = 1024
-# After how many seconds a connection that never brought a request may be given up where room is short.
-SILENT_LONG = 0.5
-# What may stand once in a head: readers that pick another copy would see another request.
-ONCE = ("Host", "Req-Id", "Req-Deadline", "Idempotency-Key", "Req-Retry", "Req-Owner")
+# After how many seconds a connection without any request may be closed if descriptors are short.
+UNUSED_TIMEOUT = 0.5
+# Headers that may appear once in a request: readers that pick another copy would see another request.
+UNIQUE_HEADERS = ("Host", "Req-Id", "Req-Deadline", "Idempotency-Key", "Req-Retry", "Req-Owner")
 
 
 class _Connection(RequestHandler):
-    """A caller's connection, on which what can't be read is answered shortly and closed."""
-
-    def __init__(self, manager: _Server, **told: Any) -> None:
-        super().__init__(manager, **told)
-        self.turned_away = manager.turned_away
-        self.made_at = self._loop.time()
-        # How many requests had come when the head now coming began; -1: none is coming.
-        self.head_of = -1
-        # Bytes of a body that are kept for further attempts.
-        self.kept = 0
-
-    def end(self, why: str) -> None:
-        """Close it, with nothing owed on it."""
-        log.debug("connection closed", extra={"pairs": {"why": why, "requests": self._request_count}})
+    """A caller's connection. A malformed request gets a short answer, and its connection is closed."""
+
+    def __init__(self, manager: _Server, **options: Any) -> None:
+        super().__init__(manager, **options)
+        self.on_refused = manager.on_refused
+        self.connected_at = self._loop.time()
+        # The number of requests before the head that is being received; -1: none is being received.
+        self.requests_before_head = -1
+        # Bytes of the current request's body that are buffered for further attempts.
+        self.buffered_bytes = 0
+
+    def close_idle(self, reason: str) -> None:
+        """Close the connection; no request on it may be waiting for an answer."""
+        log.debug("connection closed", extra={"pairs": {"why": reason, "requests": self._request_count}})
         self.force_close()
 
-    def is_silent(self) -> bool:
-        """Whether it never brought a request, though it was there for long."""
-        return not self._request_count and self._loop.time() - self.made_at > SILENT_LONG
+    def is_unused(self) -> bool:
+        """Return whether it has had no request since it connected more than `UNUSED_TIMEOUT` ago."""
+        return not self._request_count and self._loop.time() - self.connected_at > UNUSED_TIMEOUT
 
     def data_received(self, data: bytes) -> None:
-        """A head that begins late in a silence still has its own time."""
-        if data and _is_idle(self) and self.head_of != self._request_count:
-            self.head_of = self._request_count
-            self._next_keepalive_close_time = self._loop.time() + HEAD_LONG
+        """Start the head timeout at the first byte of a head, which may come late in the idle timeout."""
+        if data and _is_idle(self) and self.requests_before_head != self._request_count:
+            self.requests_before_head = self._request_count
+            self._next_keepalive_close_time = self._loop.time() + HEAD_TIMEOUT
         super().data_received(data)
 
     def _process_keepalive(self) -> None:
-        """The end of a silence; what has come and was not read yet is none.
+        """Close the connection at its idle timeout, unless a request has arrived and was not read yet.
 
-        Guards against a loop that is late: closing over a request resets it unanswered. A head that has begun
-        had its time.
+        If the event loop is late, a close would reset the connection with its request unanswered. A head that
+        was being received had its own timeout.
         """
-        if self.head_of != self._request_count and has_unread(self.transport):
-            self._next_keepalive_close_time = self._loop.time() + UNREAD_AGAIN
+        if self.requests_before_head != self._request_count and has_unread(self.transport):
+            self._next_keepalive_close_time = self._loop.time() + UNREAD_RECHECK_INTERVAL
         super()._process_keepalive()
 
     def handle_error(
@@ -103,27 +104,27 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """aiohttp would log a trace for each, which is what a flood is after."""
+        """Answer a malformed request without the traceback that aiohttp logs, which would amplify a flood."""
         if status >= 500:
             return super().handle_error(request, status, exc, message)
-        self.turned_away(status)
+        self.on_refused(status)
         response = web.Response(status=status)
         response.force_close()
         return response
 
 
 class _Server(web.Server):
-    """aiohttp's low-level server, telling of each new connection."""
+    """aiohttp's low-level server, with callbacks for new connections and for requests refused unread."""
 
     def __init__(
         self,
         handler: Callable[[web.BaseRequest], Awaitable[web.StreamResponse]],
         on_connection: Callable[[], None],
-        turned_away: Callable[[int], None],
+        on_refused: Callable[[int], None],
     ) -> None:
         super().__init__(handler, request_factory=self._request, handler_cancellation=True)
         self.on_connection = on_connection
-        self.turned_away = turned_away
+        self.on_refused = on_refused
 
     def __call__(self) -> RequestHandler:
         return _Connection(
@@ -131,14 +132,15 @@
             loop=self._loop,
             access_log=None,
             auto_decompress=False,
-            keepalive_timeout=QUIET_LONG,
-            # What is refused by its length is not read.
+            keepalive_timeout=IDLE_TIMEOUT,
+            # A body that is refused because of its length is not read.
             lingering_time=0,
         )
 
     def connection_made(self, handler: RequestHandler, transport: asyncio.Transport) -> None:
+        """Register a new connection and make room for it if necessary."""
         super().connection_made(handler, transport)
-        read_little(transport)
+        limit_read_size(transport)
         self.on_connection()
 
     def _request(
@@ -155,132 +157,143 @@
 
 
 class Callers:
-    """Everything that callers see of a node."""
+    """The node's side towards its callers: accepts connections, reads requests and writes answers."""
 
     def __init__(
         self,
-        tracks: dict[str, int],
-        live: Callable[[Call, int, int, Callable[[], bool]], Awaitable[Answer]],
+        deadlines_us: dict[str, int],
+        handle_inquiry: Callable[[Call, int, int, Callable[[], bool]], Awaitable[Answer]],
         is_ready: Callable[[], bool],
-        is_crowded: Callable[[], bool],
+        is_at_limit: Callable[[], bool],
         make_room: Callable[[], None],
-        figures: Figures,
+        counters: Counters,
     ) -> None:
-        self.figures = figures
+        self.counters = counters
+        # Closes idle connections if the node has more descriptors open than it should.
         self.make_room = make_room
-        # The patience of each track.
-        self.tracks = tracks
-        self.live = live
+        # The deadline of each request class, for requests without one of their own.
+        self.deadlines_us = deadlines_us
+        self.handle_inquiry = handle_inquiry
         self.is_ready = is_ready
-        self.is_crowded = is_crowded
+        self.is_at_limit = is_at_limit
         # Set when the node is to stop: each answer then closes its connection.
-        self.closing = False
-        # How many were turned away unread since that was last told of, by status.
-        self.away: dict[int, int] = {}
-        # Bytes kept of large bodies, and answers being passed on.
-        self.kept = 0
-        self.passing = 0
+        self.is_closing = False
+        # How many requests were refused unread since the last log line about them, by status.
+        self.refused_unread: dict[int, int] = {}
+        # Bytes of large bodies that are buffered, and the number of answers that are being streamed.
+        self.buffered_bytes = 0
+        self.streaming_answers = 0
         self.throttle = LogThrottle()
-        self.server = _Server(self._handle, make_room, self._turned_away)
-        self.at_once = ACCEPT_AT_ONCE
+        self.server = _Server(self._handle, make_room, self._count_refused)
+        self.accepts_per_turn = MAX_ACCEPTS_PER_TURN
         # The listening socket, kept open while another process of the node accepts.
-        self.listening: socket.socket | None = None
+        self.listening_socket: socket.socket | None = None
         self.listener: Acceptor | None = None
 
     async def listen(
-        self, host: str, port: int, listening: socket.socket | None = None, shared: bool = False
+        self, host: str, port: int, listening_socket: socket.socket | None = None, shared: bool = False
     ) -> None:
-        """Take callers, on the socket of the process before where there is one.
+        """Start to accept connections, on the predecessor's listening socket if one was handed over.
 
-        `shared`: a process started later may listen on the same address even if it was not handed the socket.
+        `shared`: a successor may bind the same address, even without being handed this socket. Raises OSError
+        if the address can't be opened.
         """
-        if listening is None:
-            listening = await open_listening(host, port, shared)
-        self.listening = listening
-        self.accept(True)
-
-    def descriptor(self) -> int:
-        """What another process needs to accept from the same queue; OSError if it is closed."""
-        if self.listening is None:
-            raise OSError("not listening")
-        return self.listening.fileno()
-
-    def accept(self, on: bool) -> None:
-        """Take new connections, or leave those in the queue to another process that has it."""
-        if not on:
+        if listening_socket is None:
+            listening_socket = await open_listening_socket(host, port, shared)
+        self.listening_socket = listening_socket
+        self.set_accepting(True)
+
+    def listening_descriptor(self) -> int:
+        """Return the descriptor with which another process can accept from the same backlog.
+
+        Raises OSError if the listening socket is closed.
+        """
+        if self.listening_socket is None:
+            raise OSError("the listening socket is closed")
+        return self.listening_socket.fileno()
+
+    def set_accepting(self, enabled: bool) -> None:
+        """Accept new connections, or leave those in the backlog to another process that shares it."""
+        if not enabled:
             if self.listener is not None:
                 self.listener.close()
                 self.listener = None
-        elif self.listening is not None and self.listener is None:
-            self.listening.listen(BACKLOG)
-            # What the acceptor closes is a copy: the queue lives on with the other.
-            self.listener = Acceptor(self.listening.dup(), self.server, self.at_once, self.make_room)
+        elif self.listening_socket is not None and self.listener is None:
+            self.listening_socket.listen(BACKLOG)
+            # The acceptor closes only its duplicate: the backlog stays open through the other descriptor.
+            self.listener = Acceptor(
+                self.listening_socket.dup(), self.server, self.accepts_per_turn, self.make_room
+            )
             self.listener.start()
 
     async def stop_listening(self) -> None:
-        """No new connections; those that have brought no request for long are closed.
+        """Close the listening socket, and connections that have had no request for long.
 
-        Those that the system has already taken into its queue are taken first: closing would reset them.
+        Connections in the backlog are accepted first, since closing the socket would reset them.
         """
-        # By turns of the loop, not by time: a process that stood still would take none of a full queue.
+        # Limited by turns of the event loop, not by time: after a stall no time would be left to empty a full
+        # backlog.
         listener = self.listener
-        for _ in range(BACKLOG // self.at_once):
-            if listener is None or not is_readable(self.listening):
+        for _ in range(BACKLOG // self.accepts_per_turn):
+            if listener is None or not is_readable(self.listening_socket):
                 break
-            # Also while it rests for a shortage.
-            listener.take()
+            # Also while the acceptor backs off because of a shortage.
+            listener.accept_pending()
             await asyncio.sleep(0)
-        self.accept(False)
-        while listener is not None and listener.coming:
-            # They are taken, and become connections in the next turns.
+        self.set_accepting(False)
+        while listener is not None and listener.pending:
+            # Accepted connections get their transports in the next turns.
             await asyncio.sleep(0)
-        if self.listening is not None:
-            self.listening.close()
-            self.listening = None
-        self._close_idle(asked_too=False)
+        if self.listening_socket is not None:
+            self.listening_socket.close()
+            self.listening_socket = None
+        self._close_idle(include_used=False)
 
     def begin_closing(self) -> None:
-        """Each answer now closes its connection; those between two requests are closed at once."""
-        self.closing = True
-        self._close_idle(asked_too=True)
+        """Close idle connections now, and each other connection with its next answer."""
+        self.is_closing = True
+        self._close_idle(include_used=True)
 
-    def _close_idle(self, asked_too: bool) -> None:
+    def _close_idle(self, include_used: bool) -> None:
         for connection in self.server.connections:
             assert isinstance(connection, _Connection)
-            if _may_close(connection) and (asked_too or connection.is_silent()):
-                connection.end("the node ends")
+            if _may_close(connection) and (include_used or connection.is_unused()):
+                connection.close_idle("the node is shutting down")
 
     async def close(self) -> None:
+        """Close all connections; handlers that are still running get 0.05 s."""
         await self.server.shutdown(0.05)
 
     @property
-    def held(self) -> int:
+    def connection_count(self) -> int:
+        """The number of open connections of callers."""
         return len(self.server._connections)
 
-    def close_one_idle(self, pressed: bool) -> bool:
-        """Give up a connection that has brought no request for long, or else one between two requests.
+    def close_one_idle(self, urgent: bool) -> bool:
+        """Close an unused connection, or else one that is idle after a request; return whether one closed.
 
-        What a new connection brings may be on its way and counts as taken: it is read, refused if need be.
-        Only when pressed is the oldest of these given up: no descriptor left for accepting would cost more.
+        A new connection's first request may be on its way. Such a connection counts as accepted: its request
+        is read, and refused if necessary. Only if `urgent` is the oldest new connection closed, because it
+        would be worse to have no descriptor left for accepting.
         """
-        newer = used = None
+        new = used = None
         for connection in self.server._connections:
             assert isinstance(connection, _Connection)
-            silent = connection.is_silent()
-            known = used if connection._request_count else newer
-            if (known is not None and not silent) or not _may_close(connection):
+            is_unused = connection.is_unused()
+            candidate = used if connection._request_count else new
+            if (candidate is not None and not is_unused) or not _may_close(connection):
                 continue
-            if silent:
-                # Before those of usual callers, who ask as soon as they have connected.
-                connection.end("room for others, never asked")
+            if is_unused:
+                # Before connections of ordinary callers, which send a request as soon as they have connected.
+                connection.close_idle("descriptors are short, no request so far")
                 return True
             if connection._request_count:
                 used = connection
             else:
-                newer = connection
-        chosen = used or (newer if pressed else None)
+                new = connection
+        chosen = used or (new if urgent else None)
         if chosen is not None:
-            chosen.end("room for others")
+            chosen.close_idle("descriptors are short")
         return chosen is not None
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -289,159 +302,175 @@
         try:
             return await self._answer(request, connection)
         finally:
-            self.kept -= connection.kept
-            connection.kept = 0
+            self.buffered_bytes -= connection.buffered_bytes
+            connection.buffered_bytes = 0
 
     async def _answer(self, request: web.BaseRequest, connection: _Connection) -> web.StreamResponse:
-        """From a request's first byte to the last of its answer."""
+        """Read the request and return its answer."""
         if request.raw_path == READY_PATH:
             return self._response(Answer(200 if self.is_ready() else 503))
         try:
-            call = await self._read(request, connection)
-        except BadCall as bad:
-            pairs = {"request": request.headers.get("Req-Id", ""), "status": bad.status, "why": str(bad)}
+            call = await self._read_call(request, connection)
+        except BadCall as error:
+            pairs = {
+                "request": request.headers.get("Req-Id", ""),
+                "status": error.status,
+                "why": str(error),
+            }
             log.debug("request refused", extra={"pairs": pairs})
-            self._turned_away(bad.status)
-            track = track_of(request.raw_path)
-            if track in self.tracks:
-                self.figures.ended(track, bad.status)
-            plain = (("Content-Type", "text/plain"),)
-            return self._response(Answer(bad.status, f"{bad}\n".encode(), plain), close=True)
+            self._count_refused(error.status)
+            class_name = track_of(request.raw_path)
+            if class_name in self.deadlines_us:
+                self.counters.count_answer(class_name, error.status)
+            headers = (("Content-Type", "text/plain"),)
+            return self._response(Answer(error.status, f"{error}\n".encode(), headers), close=True)
         if call.rest is not None:
-            # An early answer may find its caller still sending: closing at once would take it back.
-            connection._lingering_time = LINGER
-        if self.is_crowded():
-            # Guards the limit on descriptors: nothing was sent, so trying again is harmless.
+            # At an early answer the caller may still be sending: an immediate close would discard the answer.
+            connection._lingering_time = LINGER_SECONDS
+        if self.is_at_limit():
+            # Protects the limit on descriptors. Nothing was sent to a server, so a retry is harmless.
             pairs = {"request": call.request_id, "status": 503, "why": "descriptors are short"}
             log.debug("request refused", extra={"pairs": pairs})
-            self.figures.ended(call.track, 503)
+            self.counters.count_answer(call.track, 503)
             return self._response(Answer(503), close=True)
-        patience = self.tracks[call.track] if call.left_us is None else call.left_us
-        unread_us = 0 if call.rest else _unread_us(request)
+        time_left_us = self.deadlines_us[call.track] if call.left_us is None else call.left_us
+        unread_us = 0 if call.rest else _unread_time_us(request)
         loop = asyncio.get_running_loop()
-        due = loop.time() + (patience - unread_us) / 1e6
-        answer = await self.live(call, patience, unread_us, lambda: not has_left(request.transport))
+        deadline = loop.time() + (time_left_us - unread_us) / 1e6
+        answer = await self.handle_inquiry(
+            call, time_left_us, unread_us, lambda: not has_disconnected(request.transport)
+        )
         if answer.rest is not None:
-            # Behind a body that was passed on, the time runs from its last byte: that was later.
-            due = due if call.rest is None else loop.time() + patience / 1e6
-            return await self._pass_on(request, call, answer, answer.rest, due)
-        self.figures.ended(call.track, answer.status)
-        # Nobody hears what else stands in the line of a client that has gone: each would cost a connection.
-        gone = answer.status == 499 and has_left(request.transport)
-        return self._response(answer, close=gone or (call.rest is not None and not request.content.is_eof()))
-
-    async def _pass_on(
-        self, request: web.BaseRequest, call: Call, answer: Answer, rest: Rest, due_at: float
+            # For a streamed body the time starts at its last byte, which was sent after `deadline` was set.
+            deadline = deadline if call.rest is None else loop.time() + time_left_us / 1e6
+            return await self._stream_answer(request, call, answer, answer.rest, deadline)
+        self.counters.count_answer(call.track, answer.status)
+        # Pipelined requests of a client that has disconnected are dropped: each would cost a connection to a
+        # server, for an answer that nobody receives.
+        client_left = answer.status == 499 and has_disconnected(request.transport)
+        return self._response(
+            answer, close=client_left or (call.rest is not None and not request.content.is_eof())
+        )
+
+    async def _stream_answer(
+        self, request: web.BaseRequest, call: Call, answer: Answer, rest: Rest, deadline_at: float
     ) -> web.StreamResponse:
-        """An answer as it comes; one that breaks off cuts its connection, so that the caller can tell."""
+        """Stream an answer to its caller. If it breaks off, its connection is cut, so that this shows."""
         response = web.StreamResponse(status=answer.status, headers=CIMultiDict(answer.headers))
         if rest.length is not None:
             response.content_length = rest.length
         elif request.version >= HttpVersion11:
             response.enable_chunked_encoding()
         else:
-            # Its close alone ends it: until it is whole, whatever else closes it, as the node's own end, is
-            # a reset.
+            # Only the close ends this answer. Until it is complete every other close, such as one at the
+            # node's end, has to be a reset.
             response.force_close()
-            end_by_reset(request.transport, True)
-        if self.closing:
+            set_reset_on_close(request.transport, True)
+        if self.is_closing:
             response.force_close()
-        self.passing += 1
-        whole = False
-        progress = Progress(TAKER_GRACE)
-        due = Due(due_at, rest.length, len(answer.body))
+        self.streaming_answers += 1
+        is_complete = False
+        progress = Progress(RECEIVER_GRACE_SECONDS)
+        deadline = AnswerDeadline(deadline_at, rest.length, len(answer.body))
         try:
             await response.prepare(request)
-            piece = answer.body or await due.within(rest.read)
+            piece = answer.body or await deadline.wait_for(rest.read)
             while piece:
-                await progress.within(response.write(piece), len(piece))
-                piece = await due.within(rest.read)
-            await progress.within(response.write_eof())
-            whole = True
-            end_by_reset(request.transport, False)
+                await progress.wait_for(response.write(piece), len(piece))
+                piece = await deadline.wait_for(rest.read)
+            await progress.wait_for(response.write_eof())
+            is_complete = True
+            set_reset_on_close(request.transport, False)
         except (Spoilt, TimeoutError) as error:
-            # The server broke off or never comes to an end, or the caller takes nothing more.
+            # The server broke off or does not finish, or the caller no longer reads.
             log.info("answer broken off", extra={"pairs": {"why": str(error) or "its caller is too slow"}})
         except ConnectionError:
-            # The caller has gone: nothing is owed.
+            # The caller has disconnected and needs no answer.
             pass
         finally:
-            self.passing -= 1
+            self.streaming_answers -= 1
             rest.close()
-            if not whole and request.transport is not None:
+            if not is_complete and request.transport is not None:
                 request.transport.abort()
-            self.figures.ended(call.track, answer.status, whole)
+            self.counters.count_answer(call.track, answer.status, is_complete)
         return response
 
-    async def _read(self, request: web.BaseRequest, connection: _Connection) -> Call:
-        """A request with its body, or as much of a large one as is kept; it may end in one way only."""
-        message, fields = request._message, request.headers
+    async def _read_call(self, request: web.BaseRequest, connection: _Connection) -> Call:
+        """Return the request with its body, or with the buffered start of a large one.
+
+        Raises BadCall if the request is malformed, too large or too slow. Its framing must be unambiguous, or
+        a server could see other requests than the node does.
+        """
+        message, headers = request._message, request.headers
         if message.version not in (HttpVersion10, HttpVersion11) or message.upgrade:
-            raise BadCall(400, "this is HTTP/1.1 without upgrades")
-        if any(len(fields.getall(name, ())) > 1 for name in ONCE):
-            raise BadCall(400, "a field stands twice that may stand once")
-        if fields.get("Transfer-Encoding", "chunked").lower() != "chunked":
+            raise BadCall(400, "only HTTP/1.0 and HTTP/1.1 without upgrades are supported")
+        if any(len(headers.getall(name, ())) > 1 for name in UNIQUE_HEADERS):
+            raise BadCall(400, "a header that may appear only once appears more than once")
+        if headers.get("Transfer-Encoding", "chunked").lower() != "chunked":
             raise BadCall(400, "Transfer-Encoding is not chunked")
-        if (request.content_length or 0) > BODY_LARGEST:
-            raise BadCall(413, f"the body is longer than {BODY_LARGEST} bytes")
-        if fields.get("Expect", "").lower() == "100-continue" and request.transport is not None:
+        if (request.content_length or 0) > MAX_BODY_BYTES:
+            raise BadCall(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
+        if headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         body, rest = bytearray(), None
         if request.can_read_body:
             progress = Progress()
-            while piece := await next_piece(request.content, progress):
+            while piece := await read_piece(request.content, progress):
                 body += piece
-                connection.kept += len(piece)
-                self.kept += len(piece)
-                if len(body) > (KEPT_MOST if self.kept <= KEPT_ALL else BODY_MOST):
-                    rest = Body(request.content, len(body), progress)
+                connection.buffered_bytes += len(piece)
+                self.buffered_bytes += len(piece)
+                if len(body) > (
+                    MAX_BUFFERED_BODY if self.buffered_bytes <= MAX_BUFFERED_TOTAL else BODY_MOST
+                ):
+                    rest = StreamedBody(request.content, len(body), progress)
                     break
         raw = request.raw_headers
-        # By the settings of now: a request whose body was still coming when they changed was not taken yet.
-        call = read_call(request.method, request.raw_path, fields, raw, bytes(body), self.tracks)
+        # Under the current settings: a request whose body was still being received when they changed was not
+        # accepted before.
+        call = read_call(request.method, request.raw_path, headers, raw, bytes(body), self.deadlines_us)
         return call if rest is None else replace(call, rest=rest, length=request.content_length)
 
-    def _turned_away(self, status: int) -> None:
-        """Count, and tell of it now and then."""
-        self.away[status] = self.away.get(status, 0) + 1
+    def _count_refused(self, status: int) -> None:
+        """Count a request that was refused unread, and log the counts from time to time."""
+        self.refused_unread[status] = self.refused_unread.get(status, 0) + 1
         if self.throttle.is_due(asyncio.get_running_loop().time()):
-            pairs = {str(known): count for known, count in sorted(self.away.items())}
+            pairs = {str(code): count for code, count in sorted(self.refused_unread.items())}
             log.warning("requests turned away unread", extra={"pairs": pairs})
-            self.away.clear()
+            self.refused_unread.clear()
 
     def _response(self, answer: Answer, close: bool = False) -> web.Response:
         response = web.Response(status=answer.status, body=answer.body, headers=CIMultiDict(answer.headers))
-        if close or self.closing:
+        if close or self.is_closing:
             response.force_close()
         return response
 
 
-def _unread_us(request: web.BaseRequest) -> int:
-    """How long the request's last byte lay here unread.
+def _unread_time_us(request: web.BaseRequest) -> int:
+    """Return how long the request's last byte was unread on this node, 0 where the system does not tell.
 
-    Patience runs from the sending: a node that was held up for a while must not answer as much too late.
+    The caller's deadline counts from sending: a node that was stalled must not answer later by that time.
     """
     transport = request.transport
     if transport is None or not hasattr(socket, "TCP_INFO"):
         return 0
     connection = transport.get_extra_info("socket")
-    # struct tcp_info: tcpi_last_data_recv, milliseconds since data last came, is at byte 52.
+    # struct tcp_info: tcpi_last_data_recv, the milliseconds since data was last received, is at byte 52.
     info = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 56)
     return int.from_bytes(info[52:56], sys.byteorder) * 1000
 
 
 def _is_idle(connection: RequestHandler) -> bool:
-    """Whether the connection waits for a request and has none, read or half answered.
+    """Return whether the connection waits for a request and has none that was read or partly answered.
 
-    Only the waiting itself tells: between a request's reading and the start of its handler nothing else does,
-    and closing it then would lose the request.
+    Only the wait itself shows this: nothing else does between the reading of a request and the start of its
+    handler, and a close at that time would lose the request.
     """
     return connection._waiter is not None and not connection._waiter.done()
 
 
 def _may_close(connection: RequestHandler) -> bool:
-    """Whether nothing is owed on it: it is idle, and nothing lies there that the loop has not read yet.
+    """Return whether a close loses no request: the connection is idle and has no unread bytes.
 
-    A close over unread bytes is a reset, and their request is lost unanswered.
+    A close with unread bytes is a reset, and their request is lost unanswered.
     """
     return _is_idle(connection) and not has_unread(connection.transport)
