--- a/coraldeal/net/__init__.py
+++ b/coraldeal/net/__init__.py
@@ -1,4 +1,1 @@
-"""The real node: sockets, clocks and signals round the decisions of coraldeal.balance.
-
-Nothing here decides.
-"""
+"""The network side of a node: sockets, clocks and signals. The decisions are made in coraldeal.balance."""
