--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,8 @@
-"""Large, slow and piecewise messages, between stand-ins on loopback."""
+"""Tests of large, slow and fragmented requests and answers, with stand-in servers on loopback.
+
+They guard against a node that buffers large bodies, passes a truncated answer off as complete, sends a body
+again that it cannot repeat, or lets slow callers and servers hold memory and connections.
+"""
 
 from __future__ import annotations
 
@@ -19,13 +23,14 @@
 
 
 class BodiesCase(unittest.IsolatedAsyncioTestCase):
-    async def node(self, play: Played, **told: Any) -> RunningNode:
-        self.server = await StandIn(play).start()
+    async def node(self, respond: Played, **settings: Any) -> RunningNode:
+        self.server = await StandIn(respond).start()
         self.addCleanup(self.server.stop)
         known = server_list(1, True, entry("s0", self.server.address))
-        return await self.enterAsyncContext(RunningNode(config(known, **told)))
+        return await self.enterAsyncContext(RunningNode(config(known, **settings)))
 
-    async def chunks(self, reader: asyncio.StreamReader) -> bytes:
+    async def read_chunked(self, reader: asyncio.StreamReader) -> bytes:
+        """Read a chunked body up to its end."""
         body = b""
         while size := int((await reader.readline()).split(b";")[0], 16):
             body += (await reader.readexactly(size + 2))[:-2]
@@ -37,50 +42,50 @@
     return hashlib.md5(data).hexdigest()
 
 
-class Answers(BodiesCase):
-    async def test_a_large_answer_is_passed_on_as_it_comes(self) -> None:
-        go_on = asyncio.Event()
+class LargeAnswersTest(BodiesCase):
+    async def test_large_answer_is_streamed_while_it_arrives(self) -> None:
+        send_rest = asyncio.Event()
 
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, LARGE)[: 3 * MIB])
-            await go_on.wait()
+            await send_rest.wait()
             writer.write(answer(200, LARGE)[3 * MIB :])
 
-        running = await self.node(play)
+        running = await self.node(respond)
         caller = await running.caller()
         caller.send("read", b"", "300m")
         head = await caller.reader.readuntil(b"\r\n\r\n")
         self.assertIn(b"Content-Length: %d\r\n" % len(LARGE), head)
         body = await caller.reader.readexactly(2 * MIB)
-        # Its client has what there is; the server's place is free and the patience is over.
-        self.assertEqual((running.node.balancer.attempts, running.node.callers.passing), ({}, 1))
+        # The client has what has arrived; the attempt has ended for the balancer, and the deadline passes.
+        self.assertEqual((running.node.balancer.attempts, running.node.callers.streaming_answers), ({}, 1))
         await asyncio.sleep(0.35)
-        go_on.set()
+        send_rest.set()
         body += await caller.reader.readexactly(len(LARGE) - len(body))
         self.assertEqual(digest(body), digest(LARGE))
-        await until(lambda: running.node.callers.passing == 0)
-        self.assertEqual(running.node.figures.satisfied["read"], 1)
-        # Both connections serve on.
-        go_on.set()
+        await until(lambda: running.node.callers.streaming_answers == 0)
+        self.assertEqual(running.node.figures.served["read"], 1)
+        # Both connections are kept alive.
+        send_rest.set()
         caller.send()
         await caller.reader.readuntil(b"\r\n\r\n")
         self.assertEqual(digest(await caller.reader.readexactly(len(LARGE))), digest(LARGE))
         self.assertEqual(self.server.opened, 1)
 
-    async def test_every_way_an_answer_may_end(self) -> None:
+    async def test_large_answer_of_any_framing_is_passed_on_complete(self) -> None:
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        pieces = b"".join(
+        chunks = b"".join(
             b"%x;a=b\r\n%b\r\n" % (len(LARGE[i : i + 9973]), LARGE[i : i + 9973])
             for i in range(0, len(LARGE), 9973)
         )
         for data, close in (
             (b"HTTP/1.1 103 Early\r\n\r\n" + answer(200, LARGE), False),
-            (chunked + pieces + b"0\r\nTrailer: x\r\n\r\n", False),
+            (chunked + chunks + b"0\r\nTrailer: x\r\n\r\n", False),
             (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + LARGE, True),
             (b"HTTP/1.0 200 OK\r\n\r\n" + LARGE, True),
         ):
 
-            async def play(
+            async def respond(
                 seen: Seen, reader: Any, writer: asyncio.StreamWriter, data: bytes = data, close: bool = close
             ) -> None:
                 writer.write(data)
@@ -88,39 +93,41 @@
                     writer.close()
 
             with self.subTest(data[:60]):
-                caller = await (await self.node(play)).caller()
+                caller = await (await self.node(respond)).caller()
                 caller.send()
                 head = await caller.reader.readuntil(b"\r\n\r\n")
                 if b"chunked" in head:
-                    body = await self.chunks(caller.reader)
+                    body = await self.read_chunked(caller.reader)
                 else:
                     body = await caller.reader.readexactly(len(LARGE))
                 self.assertEqual(digest(body), digest(LARGE))
 
-    async def test_one_broken_off_cuts_its_client_and_is_not_sent_again(self) -> None:
+    async def test_answer_broken_off_cuts_the_client_and_is_not_retried(self) -> None:
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n186a0\r\n" + LARGE[:100_000]
         for data in (answer(200, LARGE)[: 2 * MIB], chunked):
 
-            async def play(seen: Seen, reader: Any, writer: asyncio.StreamWriter, data: bytes = data) -> None:
+            async def respond(
+                seen: Seen, reader: Any, writer: asyncio.StreamWriter, data: bytes = data
+            ) -> None:
                 writer.write(data)
                 writer.close()
 
             with self.subTest(data[:60]):
-                running = await self.node(play)
+                running = await self.node(respond)
                 caller = await running.caller()
                 caller.send()
-                got = await caller.at_end()
-                self.assertTrue(got.startswith(b"HTTP/1.1 200"))
-                self.assertFalse(got.endswith(b"0\r\n\r\n"))
-                self.assertLess(len(got), len(LARGE))
+                received = await caller.at_end()
+                self.assertTrue(received.startswith(b"HTTP/1.1 200"))
+                self.assertFalse(received.endswith(b"0\r\n\r\n"))
+                self.assertLess(len(received), len(LARGE))
                 self.assertEqual(len(self.server.seen), 1)
-                figures = running.node.figures
-                self.assertEqual((figures.satisfied["read"], figures.given_up["read"]), (0, 1))
+                counters = running.node.figures
+                self.assertEqual((counters.served["read"], counters.failed["read"]), (0, 1))
 
-    async def test_a_client_that_takes_nothing_holds_little_and_not_for_long(self) -> None:
+    async def test_client_that_stops_reading_is_cut_and_little_is_buffered_for_it(self) -> None:
         sent = 0
 
-        async def play(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             nonlocal sent
             writer.write(answer(200, LARGE * 8)[:100])
             while True:
@@ -128,68 +135,68 @@
                 await writer.drain()
                 sent += 65536
 
-        running = await self.node(play)
+        running = await self.node(respond)
         with (
-            mock.patch("coraldeal.net.callers.TAKER_GRACE", 0.3),
-            mock.patch("coraldeal.net.bodies.SLOWEST", 10**9),
+            mock.patch("coraldeal.net.callers.RECEIVER_GRACE_SECONDS", 0.3),
+            mock.patch("coraldeal.net.bodies.MIN_BYTES_PER_SECOND", 10**9),
         ):
             caller = await running.caller()
             caller.send()
-            await until(lambda: running.node.callers.passing == 1)
-            await until(lambda: running.node.callers.passing == 0)
+            await until(lambda: running.node.callers.streaming_answers == 1)
+            await until(lambda: running.node.callers.streaming_answers == 0)
         self.assertLess(sent, len(LARGE) * 8)
         await until(lambda: running.node.servers.open == 0)
 
 
-class Bodies(BodiesCase):
-    async def test_a_large_body_is_passed_on_and_times_run_from_its_end(self) -> None:
-        begun = asyncio.Event()
-        got: list[str] = []
+class LargeRequestBodiesTest(BodiesCase):
+    async def test_large_body_is_streamed_and_timeouts_start_at_its_end(self) -> None:
+        head_received = asyncio.Event()
+        digests: list[str] = []
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with contextlib.suppress(asyncio.IncompleteReadError):
                 while True:
                     head = await reader.readuntil(b"\r\n\r\n")
-                    begun.set()
+                    head_received.set()
                     chunked = b"Transfer-Encoding: chunked" in head
-                    body = await (self.chunks(reader) if chunked else reader.readexactly(len(LARGE)))
-                    got.append(digest(body))
+                    body = await (self.read_chunked(reader) if chunked else reader.readexactly(len(LARGE)))
+                    digests.append(digest(body))
                     writer.write(answer())
 
         running = await self.node(answer)  # type: ignore[arg-type]
-        server = await asyncio.start_server(talk, "127.0.0.1", 0)
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
         running.node.servers.targets["s0"].port = server.sockets[0].getsockname()[1]
         head = b"POST /read/x HTTP/1.1\r\nHost: n\r\nReq-Deadline: 300m\r\nReq-Id: "
         pieces = [LARGE[i : i + 99_991] for i in range(0, len(LARGE), 99_991)]
-        plain = head + b"1\r\nContent-Length: %d\r\n\r\n" % len(LARGE), pieces
-        framed = [b"%x;x=1\r\n%b\r\n" % (len(piece), piece) for piece in pieces] + [b"0\r\nT: x\r\n\r\n"]
-        for start, parts in (plain, (head + b"2\r\nTransfer-Encoding: chunked\r\n\r\n", framed)):
+        with_length = head + b"1\r\nContent-Length: %d\r\n\r\n" % len(LARGE), pieces
+        chunks = [b"%x;x=1\r\n%b\r\n" % (len(piece), piece) for piece in pieces] + [b"0\r\nT: x\r\n\r\n"]
+        for start, parts in (with_length, (head + b"2\r\nTransfer-Encoding: chunked\r\n\r\n", chunks)):
             caller = await running.caller()
             caller.raw(start + b"".join(parts[:-1]))
-            await asyncio.wait_for(begun.wait(), 5)
-            begun.clear()
-            # Its patience of 0.3 s does not run while the rest is on its way.
+            await asyncio.wait_for(head_received.wait(), 5)
+            head_received.clear()
+            # The deadline of 0.3 s does not run while the body is being received.
             await asyncio.sleep(0.4)
-            self.assertEqual(running.node.figures.attempts, len(got))
+            self.assertEqual(running.node.figures.attempts, len(digests))
             caller.raw(parts[-1])
             self.assertEqual((await caller.answer())[0], 200)
-        self.assertEqual((got, running.node.figures.attempts), ([digest(LARGE)] * 2, 2))
-        self.assertEqual((running.node.callers.kept, running.node.balancer.attempts), (0, {}))
+        self.assertEqual((digests, running.node.figures.attempts), ([digest(LARGE)] * 2, 2))
+        self.assertEqual((running.node.callers.buffered_bytes, running.node.balancer.attempts), (0, {}))
 
-    async def test_one_kept_whole_may_go_again_and_one_passed_on_is_deferred(self) -> None:
+    async def test_buffered_body_is_retried_and_streamed_one_is_rejected(self) -> None:
         for size, statuses in ((MIB // 2, (200, 2)), (2 * MIB, (503, 1))):
             with self.subTest(size=size):
-                came: list[int] = []
+                lengths: list[int] = []
 
-                async def talk(
-                    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, came: list[int] = came
+                async def serve(
+                    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, lengths: list[int] = lengths
                 ) -> None:
                     head = await reader.readuntil(b"\r\n\r\n")
                     length = int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0])
-                    came.append(length)
-                    if len(came) == 1:
-                        # Reads some of it and breaks off.
+                    lengths.append(length)
+                    if len(lengths) == 1:
+                        # Read some of the body, then reset the connection.
                         await reader.readexactly(MIB // 4)
                         writer.transport.abort()
                         return
@@ -197,71 +204,72 @@
                     writer.write(answer())
 
                 running = await self.node(answer)  # type: ignore[arg-type]
-                server = await asyncio.start_server(talk, "127.0.0.1", 0)
+                server = await asyncio.start_server(serve, "127.0.0.1", 0)
                 self.addCleanup(server.close)
                 running.node.servers.targets["s0"].port = server.sockets[0].getsockname()[1]
                 caller = await running.caller()
-                # The second one's body never comes whole: it did not run, so asking again is harmless.
+                # The second body never arrives completely, so its request was not executed and may be
+                # retried by the caller.
                 length = size if size < MIB else len(LARGE)
                 caller.raw(
                     b"POST /read/x HTTP/1.1\r\nHost: n\r\nReq-Id: 1\r\nContent-Length: %d\r\n\r\n" % length
                 )
                 caller.raw(LARGE[:size])
-                self.assertEqual((await caller.status(), len(came)), statuses)
+                self.assertEqual((await caller.status(), len(lengths)), statuses)
 
-    async def test_a_caller_that_stops_in_a_large_body_costs_its_server_nothing(self) -> None:
+    async def test_caller_stalling_in_a_large_body_gets_408_and_is_not_held_against_the_server(self) -> None:
         running = await self.node(answer)  # type: ignore[arg-type]
-        ends = []
-        real = running.node.balancer.attempt_ended
+        outcomes = []
+        real_attempt_ended = running.node.balancer.attempt_ended
 
-        def ended(*told: Any) -> None:
-            ends.append(told[2])
-            real(*told)
+        def record_outcome(*args: Any) -> None:
+            outcomes.append(args[2])
+            real_attempt_ended(*args)
 
         with (
-            mock.patch("coraldeal.net.bodies.GRACE", 0.2),
-            mock.patch("coraldeal.net.bodies.SLOWEST", 10**9),
-            mock.patch("coraldeal.net.callers.LINGER", 0.0),
-            mock.patch.object(running.node.balancer, "attempt_ended", ended),
+            mock.patch("coraldeal.net.bodies.GRACE_SECONDS", 0.2),
+            mock.patch("coraldeal.net.bodies.MIN_BYTES_PER_SECOND", 10**9),
+            mock.patch("coraldeal.net.callers.LINGER_SECONDS", 0.0),
+            mock.patch.object(running.node.balancer, "attempt_ended", record_outcome),
         ):
             caller = await running.caller()
             caller.raw(b"POST /read/x HTTP/1.1\r\nHost: n\r\nReq-Id: 1\r\nContent-Length: 5000000\r\n\r\n")
             caller.raw(LARGE[: 2 * MIB])
             self.assertEqual(await caller.status(), 408)
-        self.assertEqual((ends, self.server.seen), ([Outcome.CANCELLED], []))
+        self.assertEqual((outcomes, self.server.seen), ([Outcome.CANCELLED], []))
         await until(lambda: running.node.servers.open == 0)
-        self.assertEqual(running.node.callers.kept, 0)
+        self.assertEqual(running.node.callers.buffered_bytes, 0)
 
 
-class Forms(BodiesCase):
-    async def test_an_answer_may_take_its_time_behind_what_comes_ahead_of_it(self) -> None:
-        async def play(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+class FramingTest(BodiesCase):
+    async def test_slow_answer_after_an_informational_one_is_no_stall(self) -> None:
+        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 102 Processing\r\n\r\n")
             await asyncio.sleep(0.15)
             writer.write(answer())
 
-        caller = await (await self.node(play)).caller()
+        caller = await (await self.node(respond)).caller()
         with mock.patch("coraldeal.net.servers.STALL", 0.05):
             self.assertEqual((await caller.ask("write", b"x"))[0], 200)
 
-    async def test_a_class_dropped_while_its_body_came(self) -> None:
+    async def test_request_class_removed_while_its_body_is_received_gets_404(self) -> None:
         running = await self.node(answer)  # type: ignore[arg-type]
         caller = await running.caller()
         caller.raw(b"POST /low/x HTTP/1.1\r\nHost: n\r\nReq-Id: 1\r\nContent-Length: 2\r\n\r\na")
-        await until(lambda: running.node.callers.kept == 1)
+        await until(lambda: running.node.callers.buffered_bytes == 1)
         settings = running.node.config.settings
-        kept = replace(settings, request_classes=settings.request_classes[:2])
-        running.node.read_anew = lambda: replace(running.node.config, settings=kept)
+        reduced = replace(settings, request_classes=settings.request_classes[:2])
+        running.node.read_anew = lambda: replace(running.node.config, settings=reduced)
         running.node.reload()
         caller.raw(b"b")
         self.assertEqual(await caller.status(), 404)
         self.assertEqual(self.server.seen, [])
 
-    async def test_a_request_cut_at_every_byte(self) -> None:
-        async def play(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+    async def test_request_split_at_any_byte_is_served(self) -> None:
+        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, seen.body))
 
-        running = await self.node(play)
+        running = await self.node(respond)
         caller = await running.caller()
         request = (
             b"POST http://app.svc/read/x HTTP/1.1\r\nHost: n\r\nReq-Id: %d\r\nConnection: Keep-Alive\r\n"
@@ -276,11 +284,11 @@
             self.assertEqual((status, seen.body), (200, b"abcde"))
         self.assertEqual(self.server.seen[0].line, "POST /read/x HTTP/1.1")
 
-    async def test_pipelined_old_and_bodiless(self) -> None:
-        async def play(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+    async def test_pipelined_head_and_http_1_0_requests_are_answered(self) -> None:
+        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, b"" if seen.line.startswith("HEAD") else seen.line.encode()))
 
-        caller = await (await self.node(play)).caller()
+        caller = await (await self.node(respond)).caller()
         for number in range(3):
             caller.raw(b"GET /read/%d HTTP/1.1\r\nHost: n\r\nReq-Id: %d\r\n\r\n" % (number, number))
         bodies = [(await caller.answer())[1].body for _ in range(3)]
@@ -290,15 +298,15 @@
         caller.raw(b"GET /read/x HTTP/1.0\r\nReq-Id: 8\r\nConnection: CLOSE\r\n\r\n")
         self.assertTrue((await caller.at_end()).endswith(b"GET /read/x HTTP/1.1"))
 
-    async def test_a_head_that_begins_late_has_its_own_time(self) -> None:
-        async def play(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+    async def test_head_that_starts_late_in_the_idle_timeout_has_its_own_timeout(self) -> None:
+        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer())
 
         with (
-            mock.patch("coraldeal.net.callers.QUIET_LONG", 0.4),
-            mock.patch("coraldeal.net.callers.HEAD_LONG", 0.5),
+            mock.patch("coraldeal.net.callers.IDLE_TIMEOUT", 0.4),
+            mock.patch("coraldeal.net.callers.HEAD_TIMEOUT", 0.5),
         ):
-            running = await self.node(play)
+            running = await self.node(respond)
             caller = await running.caller()
             self.assertEqual((await caller.ask())[0], 200)
             await asyncio.sleep(0.25)
@@ -306,6 +314,6 @@
             await asyncio.sleep(0.3)
             caller.raw(b"Host: n\r\n\r\n")
             self.assertEqual((await caller.answer())[0], 200)
-            # Byte by byte is no way to keep a connection.
+            # Sending single bytes does not keep a connection open.
             caller.raw(b"G")
             self.assertEqual(await caller.at_end(), b"")
