--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,8 +1,8 @@
-"""A client that has closed its connection has gone: no attempt begins after that, first or further.
+"""Tests that no attempt, first or further, starts after its client has closed the connection.
 
-Each crossing is forced on real sockets. Where the loop can't have seen the departure only the system knows
-of it, and is asked right before the first byte; docs/endings.md is the table. Each is played with a client
-that stays too, to show that the attempt would have begun.
+Each race is forced on real sockets. If the event loop can't have seen the close, only the system knows of it,
+and the node has to ask right before the first byte; docs/endings.md lists the cases. Each case also runs with
+a client that stays, to show that the attempt would have started.
 """
 
 from __future__ import annotations
@@ -30,88 +30,95 @@
     until,
 )
 
-# So many requests at once that a node reads no further before the first is answered.
-MANY = 400
+# With this many pipelined requests a node stops reading until it has answered the first.
+PIPELINED_REQUESTS = 400
 
 
-class RefusedOnce(LateConnects):
-    """The first connection is refused, those after it come up when the test lets them."""
+class FirstConnectRefused(LateConnects):
+    """Refuses the node's first connection; later ones are established when the test allows them."""
 
     refused = False
 
-    async def _connect(self, protocol: Any, host: Any = None, port: Any = None, **told: Any) -> Any:
+    async def _connect(self, protocol: Any, host: Any = None, port: Any = None, **options: Any) -> Any:
         if port in self.ports and not self.refused:
             self.refused = True
             raise ConnectionRefusedError
-        return await super()._connect(protocol, host, port, **told)
+        return await super()._connect(protocol, host, port, **options)
 
 
-class Departed(NodeCase):
-    async def at_rest(self, running: RunningNode) -> None:
+class DisconnectTest(NodeCase):
+    async def until_idle(self, running: RunningNode) -> None:
+        """Wait until no inquiry is in progress, and check that the balancer has none either."""
         node = running.node
-        await until(lambda: not (node.inquiries.in_hand or node.inquiries.open_ids))
+        await until(lambda: not (node.inquiries.in_progress or node.inquiries.open_ids))
         self.assertEqual((node.balancer.inquiries, node.balancer.attempts), ({}, {}))
 
-    async def paused(self, running: RunningNode) -> None:
-        """The node reads no further from some caller: it can't see that one leave."""
-        near = running.node.callers.server.connections
-        await until(lambda: any(one.transport is not None and not one.transport.is_reading() for one in near))
+    async def until_reading_paused(self, running: RunningNode) -> None:
+        """Wait until the node has stopped reading from a caller, so that it can't see it disconnect."""
+        connections = running.node.callers.server.connections
+        await until(
+            lambda: any(one.transport is not None and not one.transport.is_reading() for one in connections)
+        )
 
-    async def gone(self, running: RunningNode, caller: Caller) -> None:
-        """It leaves, and the node has seen that."""
-        held = running.node.callers.held
+    async def disconnect_seen(self, running: RunningNode, caller: Caller) -> None:
+        """Disconnect a caller and wait until the node has seen that."""
+        count = running.node.callers.connection_count
         caller.leave()
-        await until(lambda: running.node.callers.held < held)
+        await until(lambda: running.node.callers.connection_count < count)
 
-    def delivered(self, caller: Caller) -> bool:
-        """Whether the node's system has all that was sent: what it has no room for keeps a close back."""
-        near: socket.socket = caller.writer.get_extra_info("socket")
-        unsent = fcntl.ioctl(near.fileno(), termios.TIOCOUTQ, bytes(4))
+    def is_delivered(self, caller: Caller) -> bool:
+        """Return whether the node's system has received all that was sent.
+
+        Bytes that it has no room for would hold back a close behind them.
+        """
+        sock: socket.socket = caller.writer.get_extra_info("socket")
+        unsent = fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, bytes(4))
         return not (caller.writer.transport.get_write_buffer_size() or int.from_bytes(unsent, sys.byteorder))
 
-    def leave(self, caller: Caller, how: str) -> None:
+    def disconnect(self, caller: Caller, how: str) -> None:
+        """Disconnect by a half-close (`half`), a close or a reset; do nothing for `stays`."""
         if how == "half":
             caller.writer.write_eof()
         elif how != "stays":
             caller.leave(reset=how == "reset")
 
-    async def test_unseen_while_the_attempt_before_is_out(self) -> None:
-        """Its end is a reset, so there would be another."""
+    async def test_unseen_disconnect_during_an_attempt_prevents_a_retry(self) -> None:
+        """The attempt ends with a reset, so without the disconnect there would be a retry."""
         for cancel in (True, False):
             for how in ("stays", "close", "half", "reset"):
                 with self.subTest(cancel=cancel, how=how):
                     point = Point()
 
-                    async def play(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
+                    async def respond(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
                         if point.go.is_set():
                             writer.write(answer())
                         else:
                             await point.stop()
                             await hang_up(seen, reader, writer)
 
-                    server = await self.stand_in(play)
+                    server = await self.stand_in(respond)
                     running = await self.node(server, bounds={"cancel": cancel})
                     caller = await running.caller()
-                    for _ in range(MANY):
+                    for _ in range(PIPELINED_REQUESTS):
                         caller.send()
                     await point.reached.wait()
-                    await self.paused(running)
-                    await until(lambda c=caller: self.delivered(c))  # type: ignore[misc]
-                    self.leave(caller, how)
+                    await self.until_reading_paused(running)
+                    await until(lambda c=caller: self.is_delivered(c))  # type: ignore[misc]
+                    self.disconnect(caller, how)
                     await asyncio.sleep(0.01)
-                    self.assertEqual(len(running.node.inquiries.in_hand), 1)
+                    self.assertEqual(len(running.node.inquiries.in_progress), 1)
                     point.go.set()
                     if how == "stays":
                         self.assertEqual(await caller.status(), 200)
                         self.assertEqual(server.seen[0].fields["req-id"], server.seen[1].fields["req-id"])
                     else:
-                        await self.at_rest(running)
-                        await until(lambda r=running: r.node.callers.held == 0)  # type: ignore[misc]
+                        await self.until_idle(running)
+                        await until(lambda r=running: r.node.callers.connection_count == 0)  # type: ignore[misc]
                         self.assertEqual(len(server.seen), 1)
-                        # The rest of its line has gone with it, and cost no connections.
+                        # Its pipelined requests were dropped without connections to the server.
                         self.assertLessEqual(server.opened, 3)
 
-    async def test_while_a_further_attempt_waits_for_its_connection(self) -> None:
+    async def test_disconnect_while_a_retry_connects_prevents_the_retry(self) -> None:
         for cancel in (True, False):
             for how in ("stays", "close"):
                 with self.subTest(cancel=cancel, how=how):
@@ -120,12 +127,12 @@
                     caller = await running.caller()
                     with LateConnects(server) as point:
 
-                        async def play(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
+                        async def respond(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
                             point.go.clear()
                             point.reached.clear()
                             await hang_up(seen, reader, writer)
 
-                        server.play = play
+                        server.play = respond
                         point.go.set()
                         caller.send()
                         await until(lambda s=server: len(s.seen) == 1)  # type: ignore[misc]
@@ -135,43 +142,46 @@
                             point.go.set()
                             self.assertEqual(await caller.status(), 200)
                         else:
-                            await self.gone(running, caller)
+                            await self.disconnect_seen(running, caller)
                             point.go.set()
-                            await self.at_rest(running)
+                            await self.until_idle(running)
                     self.assertEqual(len(server.seen), 2 if how == "stays" else 1)
 
-    async def test_in_the_turn_in_which_its_connection_is_up(self) -> None:
-        """The loop stood still for longer than the rule's tenth of a second, and the attempt comes first."""
+    async def test_disconnect_in_the_turn_in_which_the_connection_is_up_prevents_the_attempt(self) -> None:
+        """The loop stalls for longer than the rule's tenth of a second, and then runs the attempt first."""
         for how in ("stays", "close"):
             with self.subTest(how=how):
                 server = await self.stand_in()
                 running = await self.node(server, bounds={"connect_timeout_ns": 10**9})
                 point, servers = Point(), running.node.servers
-                real = servers._connect
+                real_connect = servers._connect
 
-                async def late(*told: Any, real: Any = real, point: Point = point) -> Any:
-                    connection = await real(*told)
+                async def connect_late(
+                    *args: Any, real_connect: Any = real_connect, point: Point = point
+                ) -> Any:
+                    connection = await real_connect(*args)
                     await point.stop()
                     return connection
 
                 caller = await running.caller()
-                with mock.patch.object(servers, "_connect", late):
+                with mock.patch.object(servers, "_connect", connect_late):
                     caller.send()
                     await point.reached.wait()
-                    # Nothing is awaited from here on: neither the caller's loop nor the node's takes a turn.
-                    near: socket.socket = caller.writer.get_extra_info("socket")
+                    # Nothing is awaited until the point is released, so the event loop, which runs the caller
+                    # and the node, takes no turn.
+                    sock: socket.socket = caller.writer.get_extra_info("socket")
                     if how == "close":
-                        near.shutdown(socket.SHUT_RDWR)
+                        sock.shutdown(socket.SHUT_RDWR)
                     time.sleep(0.12)
                     point.go.set()
                     if how == "stays":
                         self.assertEqual(await caller.status(), 200)
-                    await self.at_rest(running)
+                    await self.until_idle(running)
                 await asyncio.sleep(0.02)
                 self.assertEqual(len(server.seen), 1 if how == "stays" else 0)
 
-    async def test_with_its_sending_shut_it_has_gone(self) -> None:
-        """To the node that is a close: an end of its bytes is all that the network tells of either."""
+    async def test_half_close_counts_as_disconnect(self) -> None:
+        """The network shows the end of the client's bytes in both cases, so the node takes it for a close."""
         server = await self.stand_in()
         running = await self.node(server, bounds={"connect_timeout_ns": 10**9})
         caller = await running.caller()
@@ -181,69 +191,71 @@
             caller.writer.write_eof()
             self.assertEqual(await caller.at_end(), b"")
             point.go.set()
-            await self.at_rest(running)
+            await self.until_idle(running)
         await asyncio.sleep(0.02)
         self.assertEqual(server.seen, [])
 
-    async def test_an_attempt_that_outlives_its_inquiry_is_the_last(self) -> None:
-        """Where none may be withdrawn it ends when nobody is there; what it failed by may be tried again."""
+    async def test_attempt_that_outlives_its_inquiry_is_not_retried(self) -> None:
+        """Cancelling is not allowed; the attempt fails after the disconnect in a way that permits a retry."""
         for how in ("stays", "close"):
             with self.subTest(how=how):
                 point = Point()
 
-                async def play(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
+                async def respond(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
                     if point.go.is_set():
                         writer.write(answer())
                     else:
                         await point.stop()
                         await hang_up(seen, reader, writer)
 
-                server = await self.stand_in(play)
+                server = await self.stand_in(respond)
                 running = await self.node(server, bounds={"cancel": False})
                 caller = await running.caller()
                 caller.send()
                 await point.reached.wait()
                 if how == "close":
-                    await self.gone(running, caller)
+                    await self.disconnect_seen(running, caller)
                     self.assertEqual(len(running.node.balancer.attempts), 1)
                 point.go.set()
                 if how == "stays":
                     self.assertEqual(await caller.status(), 200)
-                await self.at_rest(running)
+                await self.until_idle(running)
                 await asyncio.sleep(0.02)
                 self.assertEqual(len(server.seen), 2 if how == "stays" else 1)
 
-    @mock.patch("coraldeal.net.callers.KEPT_MOST", 1000)
-    async def test_unseen_behind_a_body_whose_first_attempt_was_refused(self) -> None:
-        """Nothing of it was passed on yet, so there would be another; it lies unread, the close behind it."""
+    @mock.patch("coraldeal.net.callers.MAX_BUFFERED_BODY", 1000)
+    async def test_unseen_disconnect_behind_a_body_prevents_a_retry_after_a_refused_connect(self) -> None:
+        """Nothing of the body was sent, so there would be a retry; the close is behind the unread body."""
         for how in ("stays", "close", "reset"):
             with self.subTest(how=how):
-                came: list[bytes] = []
+                received: list[bytes] = []
 
-                async def talk(reader: asyncio.StreamReader, writer: Any, came: list[bytes] = came) -> None:
+                async def serve(
+                    reader: asyncio.StreamReader, writer: Any, received: list[bytes] = received
+                ) -> None:
                     while data := await reader.read(1 << 16):
-                        came.append(data)
-                        if sum(map(len, came)) > 750_000:
+                        received.append(data)
+                        if sum(map(len, received)) > 750_000:
                             writer.write(answer())
                     writer.close()
 
                 stand_in = StandIn()
-                stand_in.server = await asyncio.start_server(talk, "127.0.0.1", 0)
+                stand_in.server = await asyncio.start_server(serve, "127.0.0.1", 0)
                 self.addCleanup(stand_in.stop)
                 stand_in.address = f"127.0.0.1:{stand_in.server.sockets[0].getsockname()[1]}"
                 running = await self.node(stand_in, bounds={"connect_timeout_ns": 10**9})
                 caller = await running.caller()
-                with RefusedOnce(stand_in) as point:
+                with FirstConnectRefused(stand_in) as point:
                     caller.send("write", bytes(750_000))
                     await point.reached.wait()
-                    await self.paused(running)
-                    await until(lambda c=caller: self.delivered(c))  # type: ignore[misc]
-                    self.leave(caller, how)
+                    await self.until_reading_paused(running)
+                    await until(lambda c=caller: self.is_delivered(c))  # type: ignore[misc]
+                    self.disconnect(caller, how)
                     await asyncio.sleep(0.01)
-                    self.assertEqual(len(running.node.inquiries.in_hand), 1)
+                    self.assertEqual(len(running.node.inquiries.in_progress), 1)
                     point.go.set()
                     if how == "stays":
                         self.assertEqual(await caller.status(), 200)
-                    await self.at_rest(running)
+                    await self.until_idle(running)
                 await asyncio.sleep(0.02)
-                self.assertEqual(bool(came), how == "stays")
+                self.assertEqual(bool(received), how == "stays")
