--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""A whole node between stand-ins: answers, ends, phases, descriptors, the list."""
+"""Tests of a complete node between stand-ins: answers, disconnects, phases, descriptors, the server list."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-class Inquiries(NodeCase):
-    async def test_ready_and_served_unchanged(self) -> None:
+class InquiriesTest(NodeCase):
+    async def test_ready_node_passes_requests_and_answers_on_unchanged(self) -> None:
         server = await self.stand_in()
         caller = await (await self.node(server)).caller()
         caller.raw(b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n")
@@ -53,7 +53,7 @@
         self.assertEqual(request.fields["idempotency-key"], "k1")
         self.assertRegex(request.fields["req-deadline"], r"^\d+u$")
 
-    async def test_goes_again_where_it_may_and_only_there(self) -> None:
+    async def test_failed_attempt_is_retried_only_if_the_class_allows(self) -> None:
         server = await self.stand_in(hang_up)
         caller = await (await self.node(server)).caller()
         self.assertEqual((await caller.ask("write", b"x"))[0], 502)
@@ -61,35 +61,36 @@
         self.assertEqual((await caller.ask("read"))[0], 503)
         self.assertGreater(len(server.seen), 2)
 
-    async def test_a_bound_track_is_sent_to_its_kind_alone_though_that_fails(self) -> None:
-        own, other = await self.stand_in(hang_up), await self.stand_in()
-        entries = [{**entry("own", own.address), "machineType": "m2"}, entry("other", other.address)]
-        tracks = [
-            {**track, "shapes_open": ["m2"]} if track["name"] == "read" else track
-            for track in SETTINGS["tracks"]
+    async def test_class_restricted_to_a_server_kind_is_sent_there_alone_though_it_fails(self) -> None:
+        permitted, other = await self.stand_in(hang_up), await self.stand_in()
+        entries = [{**entry("own", permitted.address), "machineType": "m2"}, entry("other", other.address)]
+        classes = [
+            {**each, "shapes_open": ["m2"]} if each["name"] == "read" else each for each in SETTINGS["tracks"]
         ]
-        running = RunningNode(config(server_list(1, True, *entries), tracks=tracks))
+        running = RunningNode(config(server_list(1, True, *entries), tracks=classes))
         caller = await (await self.enterAsyncContext(running)).caller()
         self.assertEqual((await caller.ask("read"))[0], 503)
-        self.assertEqual((len(own.seen), len(other.seen)), (2, 0))
-        # What is not bound goes on to the server that answers.
+        self.assertEqual((len(permitted.seen), len(other.seen)), (2, 0))
+        # A class without a restriction is sent to the server that answers.
         self.assertEqual((await caller.ask("low"))[0], 200)
         self.assertEqual(len(other.seen), 1)
 
-    async def test_client_gone_is_told_and_its_attempt_stopped(self) -> None:
+    async def test_client_disconnect_is_reported_and_cancels_its_attempt(self) -> None:
         server = await self.stand_in(never_answer)
         running = await self.node(server)
         node, caller = running.node, await running.caller()
-        with mock.patch.object(node.balancer, "attempt_ended", wraps=node.balancer.attempt_ended) as ended:
+        with mock.patch.object(
+            node.balancer, "attempt_ended", wraps=node.balancer.attempt_ended
+        ) as attempt_ended:
             caller.send()
             await until(lambda: len(server.seen) == 1)
             caller.leave()
             await until(lambda: server.closed == 1)
-            await until(lambda: not node.inquiries.in_hand)
-        self.assertIs(ended.call_args.args[2], Outcome.CANCELLED)
+            await until(lambda: not node.inquiries.in_progress)
+        self.assertIs(attempt_ended.call_args.args[2], Outcome.CANCELLED)
         self.assertEqual((node.balancer.inquiries, node.balancer.attempts), ({}, {}))
 
-    async def test_client_gone_while_attempts_may_not_be_stopped(self) -> None:
+    async def test_client_disconnect_leaves_the_attempt_running_if_cancelling_is_not_allowed(self) -> None:
         server = await self.stand_in(never_answer)
         bounds = {"cancel": False}
         running = await self.node(server, bounds=bounds)
@@ -99,9 +100,9 @@
         caller.leave()
         await until(lambda: not node.balancer.inquiries)
         self.assertEqual((len(node.balancer.attempts), server.closed), (1, 0))
-        await until(lambda: not node.balancer.attempts and not node.inquiries.in_hand)
+        await until(lambda: not node.balancer.attempts and not node.inquiries.in_progress)
 
-    async def test_broken_and_oversized_input(self) -> None:
+    async def test_malformed_and_oversized_requests_are_refused(self) -> None:
         server = await self.stand_in()
         node = await self.node(server)
         head = b"POST /read/x HTTP/1.1\r\nHost: n\r\nReq-Id: 1\r\n"
@@ -123,7 +124,7 @@
             (400, head + b"Upgrade: websocket\r\nConnection: upgrade\r\n\r\n"),
             (400, head.replace(b"1.1", b"2.0") + b"\r\n"),
         ):
-            with self.subTest(data=data[-40:]), mock.patch("coraldeal.net.bodies.GRACE", 0.1):
+            with self.subTest(data=data[-40:]), mock.patch("coraldeal.net.bodies.GRACE_SECONDS", 0.1):
                 caller = await node.caller()
                 caller.raw(data)
                 self.assertEqual(await caller.status(), status)
@@ -135,14 +136,14 @@
         self.assertEqual((await (await node.caller()).ask("read", bytes(65_536)))[0], 200)
         self.assertEqual([len(seen.body) for seen in server.seen], [65_536])
 
-    async def test_an_id_in_hand_is_turned_away_and_the_open_one_goes_on(self) -> None:
-        go_on = asyncio.Event()
+    async def test_request_id_in_progress_gets_409_and_the_first_request_continues(self) -> None:
+        may_answer = asyncio.Event()
 
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await go_on.wait()
+        async def respond(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await may_answer.wait()
             await serve_well(seen, reader, writer)
 
-        server = await self.stand_in(play)
+        server = await self.stand_in(respond)
         node = await self.node(server)
         first, second = await node.caller(), await node.caller()
         request = b"GET /read/x HTTP/1.1\r\nHost: n\r\nReq-Id: same\r\n\r\n"
@@ -150,21 +151,21 @@
         await until(lambda: len(server.seen) == 1)
         second.raw(request)
         self.assertEqual((await second.answer())[0], 409)
-        go_on.set()
+        may_answer.set()
         self.assertEqual((await first.answer())[0], 200)
         self.assertEqual((len(server.seen), node.node.inquiries.open_ids), (1, set()))
 
-    async def test_silence_a_head_without_end_and_staying_on_are_closed(self) -> None:
-        with mock.patch("coraldeal.net.callers.QUIET_LONG", 0.2):
+    async def test_silent_stalled_and_idle_connections_are_closed(self) -> None:
+        with mock.patch("coraldeal.net.callers.IDLE_TIMEOUT", 0.2):
             node = await self.node(await self.stand_in())
-            silent, endless, staying = [await node.caller() for _ in range(3)]
-            self.assertEqual((await staying.ask())[0], 200)
-            endless.raw(b"GET /read/x HTTP/1.1\r\nHost: n\r\nX: ")
-            for caller in (silent, endless, staying):
+            silent, stalled, idle = [await node.caller() for _ in range(3)]
+            self.assertEqual((await idle.ask())[0], 200)
+            stalled.raw(b"GET /read/x HTTP/1.1\r\nHost: n\r\nX: ")
+            for caller in (silent, stalled, idle):
                 self.assertEqual(await caller.at_end(), b"")
-        self.assertEqual(node.node.callers.held, 0)
+        self.assertEqual(node.node.callers.connection_count, 0)
 
-    async def test_a_flood_of_what_cannot_be_read_is_told_in_one_line(self) -> None:
+    async def test_flood_of_malformed_requests_is_logged_in_one_line(self) -> None:
         node = await self.node(await self.stand_in())
         with self.assertLogs(None, "INFO") as logs:
             for _ in range(30):
@@ -172,9 +173,9 @@
                 caller.raw(b"nonsense\r\n\r\n")
                 self.assertEqual(await caller.status(), 400)
         self.assertEqual(len(logs.output), 1)
-        self.assertEqual(sum(node.node.callers.away.values()), 29)
+        self.assertEqual(sum(node.node.callers.refused_unread.values()), 29)
 
-    async def test_a_bug_is_logged_answered_and_costs_no_other_inquiry(self) -> None:
+    async def test_exception_in_the_balancer_is_logged_and_answered_500(self) -> None:
         node = await self.node(await self.stand_in())
         caller = await node.caller()
         with (
@@ -185,7 +186,7 @@
         self.assertIn("inquiry failed", logs.output[0])
         self.assertEqual((await caller.ask())[0], 200)
 
-    async def test_a_bug_in_a_attempt_frees_its_place(self) -> None:
+    async def test_exception_in_an_attempt_ends_its_in_flight_count(self) -> None:
         node = await self.node(await self.stand_in())
         caller = await node.caller()
         with (
@@ -196,7 +197,7 @@
         await until(lambda: not node.node.balancer.attempts)
         self.assertEqual((await caller.ask())[0], 200)
 
-    async def test_an_inquiry_that_the_module_forgets_is_answered_in_time(self) -> None:
+    async def test_inquiry_without_a_decision_is_answered_504_at_its_deadline(self) -> None:
         node = await self.node(await self.stand_in())
         caller = await node.caller()
         with (
@@ -204,48 +205,48 @@
             self.assertLogs("coraldeal.net.inquiry", "WARNING"),
         ):
             self.assertEqual((await caller.ask("read", b"", "50m"))[0], 504)
-        self.assertEqual(node.node.inquiries.in_hand, {})
+        self.assertEqual(node.node.inquiries.in_progress, {})
 
-    async def test_patience_runs_on_while_a_request_lies_unread(self) -> None:
+    async def test_time_that_a_request_was_unread_counts_towards_its_deadline(self) -> None:
         node = await self.node(await self.stand_in())
         caller = await node.caller()
         self.assertEqual((await caller.ask())[0], 200)
-        live = node.node.callers.live
-        with mock.patch.object(node.node.callers, "live", wraps=live) as lived:
+        handle_inquiry = node.node.callers.handle_inquiry
+        with mock.patch.object(node.node.callers, "handle_inquiry", wraps=handle_inquiry) as handled:
             caller.send("read", b"", "800m")
-            time.sleep(0.2)  # the node's loop stands still, the request is there
+            time.sleep(0.2)  # the node's event loop stalls while the request arrives
             await caller.answer()
-        _, left_us, unread_us, _ = lived.call_args.args
-        self.assertEqual(left_us, 800_000)
+        _, time_left_us, unread_us, _ = handled.call_args.args
+        self.assertEqual(time_left_us, 800_000)
         self.assertGreater(unread_us, 180_000)
-        call = lived.call_args.args[0]
+        call = handled.call_args.args[0]
         with (
             mock.patch.object(node.node.balancer, "inquiry_arrived"),
             self.assertLogs("coraldeal.net.inquiry", "WARNING"),
         ):
-            before = clock()
-            self.assertEqual((await live(call, 400_000, 350_000, lambda: True)).status, 504)
-        self.assertLess(clock() - before, 300_000)
+            started_at = clock()
+            self.assertEqual((await handle_inquiry(call, 400_000, 350_000, lambda: True)).status, 504)
+        self.assertLess(clock() - started_at, 300_000)
 
-    async def test_nothing_comes_back_inside_the_modules_own_call(self) -> None:
+    async def test_host_never_calls_the_balancer_inside_its_own_call(self) -> None:
         refusing = await self.stand_in()
         refusing.stop()
         node = await self.node(refusing)
-        balancer, inside, reentered, told = node.node.balancer, 0, [], []
+        balancer, depth, reentered, calls = node.node.balancer, 0, [], []
 
-        def watched(name: str) -> Any:
+        def watch(name: str) -> Any:
             method = getattr(type(balancer), name)
 
             def call(*args: Any) -> Any:
-                nonlocal inside
-                told.append((name, args))
-                if inside:
+                nonlocal depth
+                calls.append((name, args))
+                if depth:
                     reentered.append(name)
-                inside += 1
+                depth += 1
                 try:
                     return method(balancer, *args)
                 finally:
-                    inside -= 1
+                    depth -= 1
 
             return call
 
@@ -257,98 +258,99 @@
             "peer_message_received",
             "servers_listed",
         ):
-            setattr(balancer, name, watched(name))
+            setattr(balancer, name, watch(name))
         caller = await node.caller()
         self.assertEqual((await caller.ask("read", b"", "300m"))[0], 503)
-        ends = [args[2] for name, args in told if name == "attempt_ended"]
-        self.assertIn(Outcome.CONNECT_FAILED, ends)
-        self.assertIn("alarm", [name for name, _ in told])
+        outcomes = [args[2] for name, args in calls if name == "attempt_ended"]
+        self.assertIn(Outcome.CONNECT_FAILED, outcomes)
+        self.assertIn("alarm", [name for name, _ in calls])
         self.assertEqual(reentered, [])
 
 
-class TimeToEnd(NodeCase):
-    """The platform kills 3.7 s after it told a node to end, also where callers would wait for longer."""
+class ShutdownTimeTest(NodeCase):
+    """The platform kills a node 3.7 s after SIGTERM, even if the deadlines of callers are later."""
 
-    async def test_what_is_in_hand_is_answered_before_the_kill_and_the_node_ends(self) -> None:
-        longer = {"expected_time_ns": 4 * 10**9, "patience_ns": 9 * 10**9}
-        tracks = [{**track, **longer} for track in SETTINGS["tracks"]]
+    async def test_inquiries_in_progress_are_answered_before_the_kill_and_the_node_ends(self) -> None:
+        long_times = {"expected_time_ns": 4 * 10**9, "patience_ns": 9 * 10**9}
+        classes = [{**each, **long_times} for each in SETTINGS["tracks"]]
         server = await self.stand_in(never_answer)
         with mock.patch("coraldeal.net.node.END_PATIENCE", 0.1):
-            running = await self.node(server, tracks=tracks)
+            running = await self.node(server, tracks=classes)
             caller = await running.caller()
             caller.send("write", b"x", "9000m")
             await until(lambda: len(server.seen) == 1)
-            began = clock()
+            started_at = clock()
             running.node.ending.set()
             self.assertGreaterEqual((await caller.answer())[0], 500)
-            self.assertLess(clock() - began, 800_000)
+            self.assertLess(clock() - started_at, 800_000)
             self.assertEqual(await caller.at_end(), b"")
             await until(lambda: running.node.phase is Phase.ENDED, 1.0)
 
 
-# What is tested here is who makes room among connections that are all new or all in use; on a busy machine
-# the quiet timer would close them first, or they would be old by the time they ask.
-@mock.patch("coraldeal.net.callers.QUIET_LONG", 60.0)
-@mock.patch("coraldeal.net.callers.SILENT_LONG", 60.0)
-class Descriptors(NodeCase):
-    async def test_idle_callers_make_room_for_new_ones(self) -> None:
+# These tests check which connections are closed when descriptors are short. On a busy machine the idle
+# timeout would close connections first, or new ones would count as unused before their first request.
+@mock.patch("coraldeal.net.callers.IDLE_TIMEOUT", 60.0)
+@mock.patch("coraldeal.net.callers.UNUSED_TIMEOUT", 60.0)
+class DescriptorLimitTest(NodeCase):
+    async def test_idle_connections_are_closed_for_new_ones_at_the_limit(self) -> None:
         server = await self.stand_in()
         node = await self.node(server, sockets=140)
         self.assertEqual(node.node.limit, 105)
         callers = [await node.caller() for _ in range(100)]
         for caller in callers:
             self.assertEqual((await caller.ask())[0], 200)
-        more = [await node.caller() for _ in range(60)]
-        for caller in more:
+        later = [await node.caller() for _ in range(60)]
+        for caller in later:
             self.assertEqual((await caller.ask())[0], 200)
-        await until(lambda: node.node.callers.held + node.node.servers.held <= 105)
+        await until(lambda: node.node.callers.connection_count + node.node.servers.held <= 105)
         self.assertEqual(await callers[0].at_end(), b"")
 
-    async def test_callers_that_send_nothing_cannot_use_up_the_reserve(self) -> None:
+    async def test_connections_without_requests_do_not_use_up_the_reserve(self) -> None:
         node = await self.node(await self.stand_in(), sockets=140)
         for _ in range(200):
             await node.caller()
-        self.assertLess(node.node.callers.held, 130)
+        self.assertLess(node.node.callers.connection_count, 130)
         self.assertEqual((await (await node.caller()).ask())[0], 200)
 
-    async def test_those_that_say_nothing_go_before_those_between_two_requests(self) -> None:
-        with mock.patch("coraldeal.net.callers.SILENT_LONG", 0.0):
+    async def test_unused_connections_are_closed_before_idle_ones(self) -> None:
+        with mock.patch("coraldeal.net.callers.UNUSED_TIMEOUT", 0.0):
             node = await self.node(await self.stand_in(), sockets=140)
-            usual = await node.caller()
-            self.assertEqual((await usual.ask())[0], 200)
+            used = await node.caller()
+            self.assertEqual((await used.ask())[0], 200)
             for _ in range(150):
                 await node.caller()
-            await until(lambda: node.node.callers.held <= 120)
-            self.assertEqual((await usual.ask())[0], 200)
+            await until(lambda: node.node.callers.connection_count <= 120)
+            self.assertEqual((await used.ask())[0], 200)
 
-    async def test_beyond_the_limit_an_inquiry_is_refused_not_lost(self) -> None:
+    async def test_request_beyond_the_limit_is_answered_503(self) -> None:
         server = await self.stand_in(never_answer)
-        longer = {"expected_time_ns": 30 * 10**9, "patience_ns": 60 * 10**9}
-        tracks = [{**track, **longer} for track in SETTINGS["tracks"]]
-        node = await self.node(server, sockets=140, tracks=tracks)
+        long_times = {"expected_time_ns": 30 * 10**9, "patience_ns": 60 * 10**9}
+        classes = [{**each, **long_times} for each in SETTINGS["tracks"]]
+        node = await self.node(server, sockets=140, tracks=classes)
         callers = [await node.caller() for _ in range(53)]
         for caller in callers:
             caller.send("read", b"", "60000m")
-        await until(lambda: len(node.node.inquiries.in_hand) == 53)
-        # None is idle: new ones go over the limit, and must not be closed before what they bring is read.
+        await until(lambda: len(node.node.inquiries.in_progress) == 53)
+        # No connection is idle: new ones exceed the limit, and must not be closed before their requests are
+        # read.
         late = [await node.caller() for _ in range(60)]
         for caller in late:
             self.assertEqual((await caller.ask())[0], 503)
         for caller in callers:
             caller.leave()
-        await until(lambda: not node.node.inquiries.in_hand)
+        await until(lambda: not node.node.inquiries.in_progress)
 
 
-class ListOfServers(NodeCase):
+class ServerListTest(NodeCase):
     async def discovery(self, *lines: Any, status: int = 200, hold: bool = True) -> StandIn:
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if status != 200:
                 writer.write(f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode())
                 return
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for line in lines:
                 data = (line if isinstance(line, bytes) else json.dumps(line).encode()) + b"\n"
-                # In two pieces: a line is not a chunk.
+                # In two chunks, since a line and a chunk need not be the same.
                 for piece in (data[:9], data[9:]):
                     writer.write(b"%x\r\n%b\r\n" % (len(piece), piece))
                     await writer.drain()
@@ -356,9 +358,9 @@
                 await reader.read()
             writer.close()
 
-        return await self.stand_in(play)
+        return await self.stand_in(respond)
 
-    async def test_begins_with_what_it_knew_and_watches_from_there(self) -> None:
+    async def test_node_starts_with_its_remembered_list_and_watches_from_its_version(self) -> None:
         old, new = await self.stand_in(), await self.stand_in()
         changes = server_list(2, False, entry("s0", old.address, "Gone"), entry("new", new.address))
         discovery = await self.discovery(changes, b"")
@@ -370,59 +372,63 @@
         self.assertEqual((await (await node.caller()).ask())[0], 200)
         self.assertEqual((len(old.seen), len(new.seen)), (1, 1))
 
-    async def test_keeps_its_list_and_asks_again_when_discovery_fails(self) -> None:
+    async def test_failing_discovery_is_retried_and_the_list_is_kept(self) -> None:
         server = await self.stand_in()
         discovery = await self.discovery(status=503)
         node = await self.node(server, discovery=discovery.address)
         await until(lambda: len(discovery.seen) >= 2)
         self.assertEqual((await (await node.caller()).ask())[0], 200)
 
-    async def test_silence_is_a_dead_watch(self) -> None:
+    async def test_silent_watch_is_replaced(self) -> None:
         discovery = await self.discovery(server_list(2, False))
         with mock.patch.object(discovery_module, "SILENCE", 0.1):
             await self.node(await self.stand_in(), discovery=discovery.address)
             await until(lambda: len(discovery.seen) >= 2)
         self.assertIn("after=2", discovery.seen[1].line)
 
-    async def test_what_cannot_be_read_ends_the_watch_and_the_whole_list_is_asked_for(self) -> None:
+    async def test_malformed_change_ends_the_watch_and_a_snapshot_is_requested(self) -> None:
         discovery = await self.discovery(server_list(2, False), b'{"generation": 3}')
         node = await self.node(await self.stand_in(), discovery=discovery.address)
         await until(lambda: len(discovery.seen) >= 2)
         self.assertEqual(discovery.seen[1].line, "GET /v1/endpoints?watch=1 HTTP/1.1")
         self.assertEqual(list(node.node.balancer.servers), ["s0"])
 
-    async def test_a_line_cut_short_is_no_news_and_the_watch_goes_on_from_the_last_whole_one(self) -> None:
-        whole = json.dumps(server_list(3, False, entry("s0", "127.0.0.1:1", "Gone"))).encode()
-        for last in (b"", b"0\r\n\r\n"):
-            # Cut anywhere, before the object's last byte too; the answer's own end is whole or not.
-            for cut in (1, len(whole) // 2, len(whole) - 1):
-
-                async def play(
-                    seen: Seen, reader: Any, writer: asyncio.StreamWriter, cut: int = cut, last: bytes = last
+    async def test_truncated_line_is_ignored_and_the_watch_resumes_after_the_last_complete_one(self) -> None:
+        change = json.dumps(server_list(3, False, entry("s0", "127.0.0.1:1", "Gone"))).encode()
+        for ending in (b"", b"0\r\n\r\n"):
+            # Truncated anywhere, even before its last byte, with and without the end of the chunked answer.
+            for cut in (1, len(change) // 2, len(change) - 1):
+
+                async def respond(
+                    seen: Seen,
+                    reader: Any,
+                    writer: asyncio.StreamWriter,
+                    cut: int = cut,
+                    ending: bytes = ending,
                 ) -> None:
                     first = json.dumps(server_list(2, False)).encode() + b"\n"
                     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                    for piece in (first, whole[:cut]):
+                    for piece in (first, change[:cut]):
                         writer.write(b"%x\r\n%b\r\n" % (len(piece), piece))
-                    writer.write(last)
+                    writer.write(ending)
                     writer.close()
 
-                with self.subTest(cut=cut, last=last):
-                    discovery = await self.stand_in(play)
+                with self.subTest(cut=cut, ending=ending):
+                    discovery = await self.stand_in(respond)
                     node = await self.node(await self.stand_in(), discovery=discovery.address)
                     await until(lambda discovery=discovery: len(discovery.seen) >= 2)  # type: ignore[misc]
                     self.assertEqual(discovery.seen[1].line, "GET /v1/endpoints?watch=1&after=2 HTTP/1.1")
                     self.assertEqual(list(node.node.balancer.servers), ["s0"])
 
-    async def test_a_new_configuration_moves_the_watch_and_a_faulty_one_changes_nothing(self) -> None:
+    async def test_new_configuration_moves_the_watch_and_an_invalid_one_changes_nothing(self) -> None:
         server, added = await self.stand_in(), await self.stand_in()
         first = await self.discovery(server_list(1, False))
         second = await self.discovery(server_list(1, True, entry("new", added.address)))
         node = await self.node(server, discovery=first.address)
         await until(lambda: len(first.seen) == 1)
-        anew = [SettingsError("setting seed is not text"), replace(node.told, discovery=second.address)]
+        reloads = [SettingsError("setting seed is not text"), replace(node.told, discovery=second.address)]
         with (
-            mock.patch.object(node.node, "read_anew", side_effect=anew),
+            mock.patch.object(node.node, "read_anew", side_effect=reloads),
             self.assertLogs("coraldeal.net.node", "INFO") as logs,
         ):
             os.kill(os.getpid(), signal.SIGHUP)
@@ -435,7 +441,7 @@
         await until(lambda: first.closed == 1)
         self.assertEqual(len(first.seen), 1)
 
-    async def test_a_list_that_is_pushed_is_watched_from_the_start_and_again(self) -> None:
+    async def test_pushed_list_is_watched_from_the_start_and_again_after_each_end(self) -> None:
         discovery = await self.discovery(server_list(2, False), hold=False)
         with mock.patch("coraldeal.net.node.REWATCH_LEAST", 0.01):
             node = await self.node(await self.stand_in(), discovery=discovery.address, pushed=True)
@@ -443,21 +449,26 @@
         self.assertEqual(node.node.balancer.list_wait, 0)
 
 
-class Ending(unittest.IsolatedAsyncioTestCase):
-    """The program itself, by its command line."""
+class ShutdownTest(unittest.IsolatedAsyncioTestCase):
+    """Tests of the program, started by its command line."""
 
     async def asyncSetUp(self) -> None:
-        self.server = await StandIn(self.slow).start()
+        self.server = await StandIn(self.respond_slowly).start()
         self.addCleanup(self.server.stop)
-        folder = self.enterContext(tempfile.TemporaryDirectory())
-        free = await StandIn().start()
-        self.port = int(free.address.rpartition(":")[2])
-        free.stop()
-        await free.server.wait_closed()
-        path = self.path = Path(folder) / "config.json"
+        directory = self.enterContext(tempfile.TemporaryDirectory())
+        placeholder = await StandIn().start()
+        self.port = int(placeholder.address.rpartition(":")[2])
+        placeholder.stop()
+        await placeholder.server.wait_closed()
+        path = self.path = Path(directory) / "config.json"
         known = server_list(1, True, entry("s0", self.server.address))
-        told = {"listen": f"127.0.0.1:{self.port}", "known": known, "seed": "1", "settings": SETTINGS}
-        path.write_text(json.dumps(told))
+        configuration = {
+            "listen": f"127.0.0.1:{self.port}",
+            "known": known,
+            "seed": "1",
+            "settings": SETTINGS,
+        }
+        path.write_text(json.dumps(configuration))
         self.process = subprocess.Popen(
             [sys.executable, "-m", "coraldeal", "serve", "--config", path], cwd=ROOT, stderr=subprocess.PIPE
         )
@@ -477,12 +488,14 @@
         self.addCleanup(caller.leave)
         return caller
 
-    async def slow(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def respond_slowly(
+        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(0.8 if len(self.server.seen) == 1 else 0)
         await serve_well(seen, reader, writer)
 
-    async def test_all_in_hand_and_all_that_still_comes_is_answered(self) -> None:
-        # Once for a file that is as it was, once for none: neither ends the program.
+    async def test_sigterm_answers_requests_in_progress_and_later_ones_before_the_exit(self) -> None:
+        # SIGHUP with an unchanged file and with an invalid one: neither ends the program.
         for text in (self.path.read_text(), "{"):
             self.path.write_text(text)
             self.process.send_signal(signal.SIGHUP)
@@ -493,23 +506,23 @@
         self.caller.send()
         await until(lambda: len(self.server.seen) == 1)
         self.process.send_signal(signal.SIGTERM)
-        ready = 200
-        while ready == 200:
+        ready_status = 200
+        while ready_status == 200:
             probe = await self.open()
             probe.raw(b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n")
-            ready, _ = await probe.answer()
-        self.assertEqual(ready, 503)
+            ready_status, _ = await probe.answer()
+        self.assertEqual(ready_status, 503)
         for caller in (idle, await self.open()):
             status, seen = await caller.ask()
             self.assertEqual((status, seen.fields.get("connection")), (200, None))
         self.assertEqual(await silent.at_end(), b"")
         with self.assertRaises(ConnectionError):
             await self.open()
-        # Nobody new is taken, and those who are connected are served on.
+        # New connections are refused, and existing ones are still served.
         self.assertEqual((await idle.ask())[0], 200)
         status, seen = await self.caller.answer()
         self.assertEqual((status, seen.body), (200, b"done"))
-        # What can't be answered any more is told so before the end, and the connection closed.
+        # A request that can't be served any more is answered before the end, and its connection is closed.
         self.server.play = never_answer
         self.caller.send("read", b"", "9000m")
         self.assertGreaterEqual((await self.caller.answer())[0], 500)
