--- a/coraldeal/net/bodies.py
+++ b/coraldeal/net/bodies.py
@@ -24,11 +24,12 @@
 # only when a third of that is free again: a receiver at twice the minimum rate then seems to pause for more
 # than ten seconds.
 RECEIVER_GRACE_SECONDS = 30.0
-# The largest request body, in bytes. Beyond it a request gets 413.
+# The largest body, in bytes: a request with a larger one gets 413, an answer that declares a larger one is
+# malformed.
 MAX_BODY_BYTES = 64 * 1024 * 1024
 # How many bytes of one body are buffered so that a further attempt can send it again. A larger body is
-# streamed to the server. While all buffered bodies hold more than the second figure, in bytes, each body may
-# only buffer BODY_MOST.
+# streamed to the server. While all buffered bodies together hold more than the second figure, in bytes, a
+# body is streamed as soon as it exceeds the size that is always buffered (see wire.py).
 MAX_BUFFERED_BODY = 1024 * 1024
 MAX_BUFFERED_TOTAL = 4 * 1024 * 1024
 
--- a/coraldeal/net/callers.py
+++ b/coraldeal/net/callers.py
@@ -48,14 +48,15 @@
 UNREAD_RECHECK_INTERVAL = 0.1
 # For how many seconds the body that a caller still sends is read after an early answer.
 LINGER_SECONDS = 5.0
-# The maximum of connections accepted in one turn of the event loop. It is lower where the descriptor reserve
-# is too small for a rush of callers.
+# The maximum of connections accepted in one turn of the event loop. A node with a small descriptor reserve
+# sets a lower one, so that a rush of callers fits into the reserve.
 MAX_ACCEPTS_PER_TURN = 16
 # How many connections the system holds until they are accepted.
 BACKLOG = 1024
 # After how many seconds a connection without any request may be closed if descriptors are short.
 UNUSED_TIMEOUT = 0.5
-# Headers that may appear once in a request: readers that pick another copy would see another request.
+# Headers that may appear only once in a request: a server that reads another copy than the node would see
+# another request.
 UNIQUE_HEADERS = ("Host", "Req-Id", "Req-Deadline", "Idempotency-Key", "Req-Retry", "Req-Owner")
 
 
@@ -77,11 +78,14 @@
         self.force_close()
 
     def is_unused(self) -> bool:
-        """Return whether it has had no request since it connected more than `UNUSED_TIMEOUT` ago."""
+        """Return whether the connection is older than `UNUSED_TIMEOUT` and has had no request."""
         return not self._request_count and self._loop.time() - self.connected_at > UNUSED_TIMEOUT
 
     def data_received(self, data: bytes) -> None:
-        """Start the head timeout at the first byte of a head, which may come late in the idle timeout."""
+        """Start the head timeout at the first byte of a head.
+
+        A head that starts late in the idle timeout has its full time.
+        """
         if data and _is_idle(self) and self.requests_before_head != self._request_count:
             self.requests_before_head = self._request_count
             self._next_keepalive_close_time = self._loop.time() + HEAD_TIMEOUT
@@ -180,7 +184,7 @@
         self.is_closing = False
         # How many requests were refused unread since the last log line about them, by status.
         self.refused_unread: dict[int, int] = {}
-        # Bytes of large bodies that are buffered, and the number of answers that are being streamed.
+        # Bytes of request bodies that are buffered, and the number of answers that are being streamed.
         self.buffered_bytes = 0
         self.streaming_answers = 0
         self.throttle = LogThrottle()
--- a/coraldeal/net/inquiry.py
+++ b/coraldeal/net/inquiry.py
@@ -195,15 +195,15 @@
             log.warning(
                 "patience over unanswered", extra={"pairs": {"inquiry": inquiry_id, "track": call.track}}
             )
-            self._handle_disconnect(inquiry)
+            self._abandon(inquiry)
             return failure(504)
         except asyncio.CancelledError:
-            self._handle_disconnect(inquiry)
+            self._abandon(inquiry)
             raise
         except Exception:
             # A bug must not affect other inquiries, and this one needs an answer.
             log.exception("inquiry failed", extra={"pairs": {"inquiry": inquiry_id, "track": call.track}})
-            self._handle_disconnect(inquiry)
+            self._abandon(inquiry)
             return failure(500)
         finally:
             if inquiry.attempt_task is None:
@@ -222,7 +222,7 @@
         if call.rest is None:
 
             def encode_message() -> bytes:
-                """Called before the first byte is written, since the wait for a connection uses up time."""
+                """Encode the message right before its first byte: the wait for a connection takes time."""
                 deadline_us = min(choice.chosen_at_us + choice.timeout_us, inquiry.deadline_us)
                 return call.written(deadline_us - self.servers.clock())
 
@@ -276,8 +276,11 @@
             log.debug("attempt ended", extra={"pairs": pairs})
         self.balancer.attempt_ended(inquiry.id, number, end.outcome, end.latency_us, is_final, end.report)
 
-    def _handle_disconnect(self, inquiry: Inquiry) -> None:
-        """Report the disconnect to the balancer, and later the end of an attempt that is still running."""
+    def _abandon(self, inquiry: Inquiry) -> None:
+        """Report the client as disconnected, and later the end of an attempt that is still running.
+
+        Used when it has disconnected, and when it was answered without the balancer.
+        """
         assert self.balancer is not None
         inquiry.client_left = True
         self.balancer.client_disconnected(inquiry.id)
--- a/coraldeal/net/listening.py
+++ b/coraldeal/net/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets of callers, the admin listener and the relay."""
+"""Listening sockets for callers, the admin listener and the relay."""
 
 from __future__ import annotations
 
