--- a/coraldeal/admin/listener.py
+++ b/coraldeal/admin/listener.py
@@ -6,7 +6,7 @@
 
 from coraldeal.admin.commands import Desk, answer
 from coraldeal.net.accepting import Acceptor
-from coraldeal.net.listening import open_listening
+from coraldeal.net.listening import open_listening_socket
 from coraldeal.net.unread import has_unread
 
 # The longest line, in bytes; how many seconds a caller may take for one; how many callers are kept at once.
@@ -69,7 +69,7 @@
 
     async def open(self, host: str, port: int) -> None:
         """Listen; OSError where the address is taken."""
-        listening = await open_listening(host, port)
+        listening = await open_listening_socket(host, port)
         listening.listen(BACKLOG)
         self.listener = Acceptor(listening, lambda: _Caller(self), ACCEPT_AT_ONCE)
         self.listener.start()
--- a/coraldeal/net/desk.py
+++ b/coraldeal/net/desk.py
@@ -26,7 +26,7 @@
         # The others are left out, draining or at rest.
         now = node.host.now
         in_rotation = sum(server.ejected_until <= now for server in balancer.servers.values())
-        carrier = node.host.carrier
+        carrier = node.host.peer_transport
         notes = {}
         if carrier is not None:
             passed_over = carrier.unreadable + carrier.unknown
@@ -41,15 +41,15 @@
             **notes,
             **list_calls,
             **({"accept_shortages": shortages} if shortages else {}),
-            "passed": counts.satisfied,
-            "dropped": counts.deferred,
-            "bad_gateway": counts.given_up,
+            "passed": counts.served,
+            "dropped": counts.rejected,
+            "bad_gateway": counts.failed,
             "upstream_tries": counts.attempts,
-            "in_progress": len(node.inquiries.in_hand) + node.callers.passing,
+            "in_progress": len(node.inquiries.in_progress) + node.callers.streaming_answers,
             "known_servers": len(balancer.listed),
             "skipped_servers": len(balancer.listed) - in_rotation,
-            "loads": counts.loads,
-            "load_errors": counts.kept,
+            "loads": counts.reloads,
+            "load_errors": counts.reload_errors,
         }
 
     def leave_out(self, server: ServerId) -> bool:
--- a/coraldeal/net/node.py
+++ b/coraldeal/net/node.py
@@ -17,9 +17,9 @@
 from coraldeal.balance import Balancer
 from coraldeal.config import NodeConfig, SettingsError, lacking
 from coraldeal.interface import Condition, Effect, Entry, ListKind, ServerId, Settings
-from coraldeal.net.callers import ACCEPT_AT_ONCE, Callers
+from coraldeal.net.callers import MAX_ACCEPTS_PER_TURN, Callers
+from coraldeal.net.counters import Counters
 from coraldeal.net.discovery import Discovery
-from coraldeal.net.figures import Figures
 from coraldeal.net.host import LoopHost, clock
 from coraldeal.net.inquiry import Inquiries
 from coraldeal.net.servers import Servers
@@ -95,7 +95,7 @@
         self.part = 1.0
         self._share_out(config.sockets)
         settings = config.settings
-        self.figures = Figures(track.name for track in settings.request_classes)
+        self.figures = Counters(track.name for track in settings.request_classes)
         self.servers = Servers(
             clock,
             config.conn_idle_us,
@@ -106,15 +106,15 @@
             *self._connections(own),
         )
         self.inquiries = Inquiries(self.servers)
-        self.inquiries.irreversible = _irreversible(settings)
+        self.inquiries.not_idempotent_classes = _irreversible(settings)
         patience = {track.name: track.deadline_us for track in settings.request_classes}
-        live = self.inquiries.live
+        live = self.inquiries.handle_inquiry
         self.callers = Callers(
             patience, live, self._is_ready, self._is_crowded, self._make_room, self.figures
         )
         # A connection taken has its descriptor four turns before the one that makes room for it is closed: a
         # rush uses up a sixth of the reserve.
-        self.callers.at_once = max(1, min(ACCEPT_AT_ONCE, self.reserve // 24))
+        self.callers.accepts_per_turn = max(1, min(MAX_ACCEPTS_PER_TURN, self.reserve // 24))
         self.starts = Starts()
         self.discovery = Discovery(
             config.discovery,
@@ -170,7 +170,7 @@
                 self.config.peers, self.config.settings.peer_index, self.balancer.peer_message_received
             )
             await carrier.open()
-            self.host.carrier = carrier
+            self.host.peer_transport = carrier
         await self._listen()
         self._watch_lag(loop.time())
         # What was made so far stays: it need not be looked through again at each collection.
@@ -209,10 +209,10 @@
                 raise SettingsError(f"setting {lacks} is missing, and the one before had it")
         except Exception as error:
             # Whatever is wrong with a file, the node goes on by the one that it has.
-            self.figures.kept += 1
+            self.figures.reload_errors += 1
             log.error("configuration kept", extra={"pairs": {"why": error}})
             return
-        self.figures.loads += 1
+        self.figures.reloads += 1
         # Who exchanges notes is as at the start, whatever else changes.
         known = old.settings
         settings = replace(new.settings, peers=known.peers, peer_index=known.peer_index)
@@ -222,9 +222,11 @@
         if new.settings != old.settings:
             # Inquiries in hand keep the rules that they came with.
             self.balancer.settings_changed(new.settings)
-            self.callers.tracks = {track.name: track.deadline_us for track in new.settings.request_classes}
-            self.figures.know(self.callers.tracks)
-            self.inquiries.irreversible = _irreversible(new.settings)
+            self.callers.deadlines_us = {
+                track.name: track.deadline_us for track in new.settings.request_classes
+            }
+            self.figures.add_request_classes(self.callers.deadlines_us)
+            self.inquiries.not_idempotent_classes = _irreversible(new.settings)
         self.servers.go_by(new.conn_idle_us, new.connect_timeout_us)
         if new.discovery != old.discovery and not self.discovery.sources:
             self.discovery.move(new.discovery)
@@ -242,9 +244,9 @@
         at once must all go to its neighbours, or find nobody while these restart too.
         """
         self._enter(Phase.DRAINING)
-        if self.host.carrier is not None:
+        if self.host.peer_transport is not None:
             # A process that takes over binds the same address.
-            self.host.carrier.close()
+            self.host.peer_transport.close()
         if self.succession is not None:
             self.succession.link.terms.told_to_end()
         tracks = self.config.settings.request_classes
@@ -252,10 +254,10 @@
         expected = max((track.latency_target_us for track in tracks), default=0)
         # No later than this the platform may kill.
         end = clock() + min(longest, int(END_PATIENCE * 1e6)) + int(END_SLACK * 1e6)
-        self.inquiries.end_by(end)
+        self.inquiries.answer_all_by(end)
         if self.succession is not None and self.succession.link.terms.yielded:
             # A newcomer takes all who connect: each answer sends its caller there.
-            self.callers.closing = True
+            self.callers.is_closing = True
         else:
             await asyncio.sleep(STILL_ACCEPTING)
             await self.callers.stop_listening()
@@ -274,12 +276,12 @@
 
     async def _while_held(self, until: int) -> None:
         """Wait for this time, or until no caller is connected."""
-        while self.callers.held and clock() < until:
+        while self.callers.connection_count and clock() < until:
             await asyncio.sleep(0.01)
 
     def _enter(self, phase: Phase) -> None:
         self.phase = phase
-        pairs = {"node": self.config.name, "phase": phase.value, "in_hand": len(self.inquiries.in_hand)}
+        pairs = {"node": self.config.name, "phase": phase.value, "in_hand": len(self.inquiries.in_progress)}
         log.info("phase", extra={"pairs": pairs})
 
     def can_serve(self) -> bool:
@@ -316,13 +318,13 @@
 
     def _is_crowded(self) -> bool:
         """Whether one more inquiry could want more descriptors than there are: each holds two at the most."""
-        return 2 * (len(self.inquiries.in_hand) + self.callers.passing) >= self.limit
+        return 2 * (len(self.inquiries.in_progress) + self.callers.streaming_answers) >= self.limit
 
     def _make_room(self) -> None:
         """Before a connection is opened and after one was taken: idle ones go first."""
-        over = self.callers.held + self.servers.held - self.limit
+        over = self.callers.connection_count + self.servers.held - self.limit
         while over > 0 and (
-            self.servers.close_one_idle() or self.callers.close_one_idle(pressed=over > self.reserve // 2)
+            self.servers.close_one_idle() or self.callers.close_one_idle(urgent=over > self.reserve // 2)
         ):
             over -= 1
 
--- a/coraldeal/net/servers.py
+++ b/coraldeal/net/servers.py
@@ -20,9 +20,15 @@
 
 from coraldeal.interface import Condition, Outcome, ServerId
 from coraldeal.logs import LogThrottle
-from coraldeal.net.bodies import BODY_LARGEST, TAKER_GRACE, Body, Progress, read_little
-from coraldeal.net.figures import Figures
-from coraldeal.net.listening import SHORTAGES
+from coraldeal.net.bodies import (
+    MAX_BODY_BYTES,
+    RECEIVER_GRACE_SECONDS,
+    Progress,
+    StreamedBody,
+    limit_read_size,
+)
+from coraldeal.net.counters import Counters
+from coraldeal.net.listening import SHORTAGE_ERRNOS
 from coraldeal.net.unread import has_unread
 from coraldeal.net.wire import (
     BODY_MOST,
@@ -60,7 +66,7 @@
 # How long a probe may take beyond the time for a connection.
 PROBE_WAIT = 0.25
 # Failures of a connect that are this machine's own: no descriptor, no memory, no port, no network.
-OWN_FAILURES = SHORTAGES | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
+OWN_FAILURES = SHORTAGE_ERRNOS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
 # Others that may be over in a moment; where they stay they are the server's.
 PASSING_FAILURES = frozenset((errno.ECONNABORTED, errno.EHOSTUNREACH))
 # The pauses between tries of one connection, in seconds.
@@ -129,7 +135,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        read_little(transport)
+        limit_read_size(transport)
         self.servers.open += 1
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -245,7 +251,7 @@
         connect_timeout_us: int,
         make_room: Callable[[], None],
         may_send: Callable[[ServerId], bool],
-        figures: Figures,
+        figures: Counters,
         ages: ConnectionAges | None = None,
         oldest: float = 0.0,
     ) -> None:
@@ -437,7 +443,7 @@
         except (OSError, aiohttp.ClientError):
             # Proved not run only if the last byte was never written; of a body it may be out though who
             # passes it on has not come round to saying so.
-            is_whole = handed_over or (call is not None and call.rest is not None and call.rest.passed)
+            is_whole = handed_over or (call is not None and call.rest is not None and call.rest.is_sent)
             if is_whole and not _bytes_left(connection):
                 outcome = Outcome.RESET
                 if connection is not None and connection.rested and not connection.head_seen:
@@ -539,13 +545,13 @@
             # It is over when the attempt goes on, and what it raised is seen.
             await asyncio.gather(passing, return_exceptions=True)
 
-    async def _pieces(self, connection: Connection, call: Call, rest: Body) -> None:
-        progress = Progress(TAKER_GRACE)
+    async def _pieces(self, connection: Connection, call: Call, rest: StreamedBody) -> None:
+        progress = Progress(RECEIVER_GRACE_SECONDS)
         size = len(call.body)
         while True:
             # Nothing is read from the caller while the server has not taken what there is.
             try:
-                await progress.within(connection._drain_helper(), size)
+                await progress.wait_for(connection._drain_helper(), size)
             except TimeoutError:
                 raise ConnectionError("the server takes nothing") from None
             piece = await rest.read()
@@ -554,9 +560,9 @@
                 if transport is None or transport.is_closing():
                     raise ConnectionError("closed within the body")
                 transport.write(call.framed(piece))
-            rest.passed = rest.read_in_all == call.length or not piece
+            rest.is_sent = rest.bytes_read == call.length or not piece
             if not piece:
-                await progress.within(connection._drain_helper(), size)
+                await progress.wait_for(connection._drain_helper(), size)
                 return
             size = len(piece)
 
@@ -594,7 +600,7 @@
         if payload.is_eof() or length is None or message.chunked:
             length = None
         told = None if length is None else int(length)
-        if (told or 0) > BODY_LARGEST:
+        if (told or 0) > MAX_BODY_BYTES:
             raise Spoilt("the answer says that it is too large")
         may_be_large = message.code == 200 and (told is None or told > BODY_MOST)
         body, commit_at = bytearray(), 0.0
--- a/coraldeal/net/succession.py
+++ b/coraldeal/net/succession.py
@@ -79,7 +79,7 @@
         return {"list": listed, "learned": learned(node.balancer)}
 
     def descriptor(self) -> int:
-        return self.node.callers.descriptor()
+        return self.node.callers.listening_descriptor()
 
     def told_left_out(self, server: str) -> None:
         self.node.balancer.start_maintenance(server, force=True)
@@ -90,7 +90,7 @@
     # What the terms ask.
 
     def accept(self, on: bool) -> None:
-        self.node.callers.accept(on)
+        self.node.callers.set_accepting(on)
 
     def take_part(self, part: float) -> None:
         self.node.take_part(part)
--- a/coraldeal/net/wire.py
+++ b/coraldeal/net/wire.py
@@ -19,7 +19,7 @@
 from coraldeal.interface import Condition, Entry, Outcome, ServerId
 
 if TYPE_CHECKING:
-    from coraldeal.net.bodies import Body
+    from coraldeal.net.bodies import StreamedBody
     from coraldeal.net.servers import Rest
 
 READY_PATH = "/ready"
@@ -80,7 +80,7 @@
     head: bytes
     body: bytes
     # What is still to come of a large body, and the length of all of it where that is known.
-    rest: Body | None = None
+    rest: StreamedBody | None = None
     length: int | None = None
 
     def written(self, wait_us: int) -> bytes:
--- a/coraldeal/relay/server.py
+++ b/coraldeal/relay/server.py
@@ -19,7 +19,7 @@
 
 from coraldeal.config import SettingsError
 from coraldeal.net.accepting import Acceptor
-from coraldeal.net.listening import open_listening
+from coraldeal.net.listening import open_listening_socket
 from coraldeal.net.wire import LIST_PATH, READY_PATH
 from coraldeal.operator import RelayTable
 from coraldeal.relay.link import Link, monotonic_us
@@ -187,7 +187,7 @@
     async def listen(self) -> None:
         """Opens the listening socket and starts to follow the sources."""
         host, _, port = self.table.listen.rpartition(":")
-        listening_socket = await open_listening(host.strip("[]"), int(port))
+        listening_socket = await open_listening_socket(host.strip("[]"), int(port))
         self.server = _HttpServer(self._handle_request, self._handle_connection)
         listening_socket.listen(LISTEN_BACKLOG)
         self.listener = Acceptor(listening_socket, self.server, MAX_ACCEPTS_PER_TURN)
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -20,8 +20,8 @@
 from coraldeal.balance import Balancer
 from coraldeal.config import NodeConfig, node_config
 from coraldeal.interface import Condition, Entry, InquiryId, ListKind, PeerMessage, ServerId
+from coraldeal.net.counters import Counters
 from coraldeal.net.discovery import Discovery
-from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
 from coraldeal.net.node import REWATCH_LEAST, REWATCH_MOST
 from coraldeal.net.servers import Servers
@@ -88,7 +88,7 @@
             job.addresses[0], read, self.take_list, self.list_failed, job.services, several, str(config.seed)
         )
         self.servers = Servers(
-            clock, config.conn_idle_us, config.connect_timeout_us, _nothing, self.may_send, Figures(())
+            clock, config.conn_idle_us, config.connect_timeout_us, _nothing, self.may_send, Counters(())
         )
         self.balancer = Balancer(self, config.settings, config.seed)
 
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -38,7 +38,7 @@
     Settings,
 )
 from coraldeal.net.carrier import Carrier
-from coraldeal.net.figures import Figures
+from coraldeal.net.counters import Counters
 from coraldeal.net.host import clock
 from coraldeal.net.servers import Servers
 from coraldeal.net.wire import Listed, Objects, read_list
@@ -267,7 +267,7 @@
 
 
 def _servers() -> Servers:
-    return Servers(clock, 5 * SECOND, SECOND, lambda: None, lambda server: True, Figures(()))
+    return Servers(clock, 5 * SECOND, SECOND, lambda: None, lambda server: True, Counters(()))
 
 
 def learn(count: int) -> float:
--- a/coraldeal/rig/soak/planted.py
+++ b/coraldeal/rig/soak/planted.py
@@ -18,7 +18,7 @@
 
 def rests_after_accept() -> None:
     """An accept that fails rests the listener for a second."""
-    vars(accepting)["PAUSE_LEAST"] = vars(accepting)["PAUSE_MOST"] = 1.0
+    vars(accepting)["MIN_BACKOFF"] = vars(accepting)["MAX_BACKOFF"] = 1.0
 
 
 class _WallClock:
@@ -51,13 +51,13 @@
 
 def sends_after_departure() -> None:
     """A client that has closed its connection is served on."""
-    vars(callers)["has_left"] = lambda *_: False
-    live = inquiry.Inquiries.live
+    vars(callers)["has_disconnected"] = lambda *_: False
+    live = inquiry.Inquiries.handle_inquiry
 
     async def to_its_end(self: inquiry.Inquiries, *told: Any) -> Any:
         return await asyncio.shield(asyncio.ensure_future(live(self, *told)))
 
-    vars(inquiry)["Inquiries"].live = to_its_end
+    vars(inquiry)["Inquiries"].handle_inquiry = to_its_end
 
 
 def starves_discovery() -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -13,7 +13,7 @@
 from coraldeal.config import SettingsError
 from coraldeal.connections.ages import AGE_EDGES, SECOND, ConnectionAges, IdlePeriods
 from coraldeal.interface import Outcome
-from coraldeal.net.figures import Figures
+from coraldeal.net.counters import Counters
 from coraldeal.net.host import clock
 from coraldeal.net.servers import Servers
 from coraldeal.net.unread import has_unread
@@ -123,7 +123,7 @@
         self.ages = ConnectionAges(8 * SECOND, 0.01)
         listed = read_list(server_list(1, True, entry("s", self.server.address)), 0).servers
         self.servers = Servers(
-            clock, 8 * SECOND, SECOND, lambda: None, lambda server: True, Figures(()), self.ages
+            clock, 8 * SECOND, SECOND, lambda: None, lambda server: True, Counters(()), self.ages
         )
         self.addAsyncCleanup(self.servers.close)
         self.servers.learn(listed)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -27,12 +27,12 @@
 from coraldeal.net import node as node_module
 from coraldeal.net import servers as servers_module
 from coraldeal.net import wire
-from coraldeal.net.bodies import Body, Progress
+from coraldeal.net.bodies import Progress, StreamedBody
+from coraldeal.net.counters import Counters
 from coraldeal.net.discovery import Discovery
-from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
 from coraldeal.net.servers import Connection, Servers
-from coraldeal.net.unread import has_left
+from coraldeal.net.unread import has_disconnected
 from coraldeal.net.wire import AttemptEnd, Call, Listed, Objects, read_list
 from tests.standins import (
     CHUNKED_HEAD,
@@ -346,18 +346,18 @@
 
     async def gone(self, running: RunningNode, caller: Caller) -> None:
         """It leaves, and the node has seen that; what is let go of from here on comes later."""
-        held = running.node.callers.held
+        held = running.node.callers.connection_count
         caller.leave()
-        await until(lambda: running.node.callers.held < held)
+        await until(lambda: running.node.callers.connection_count < held)
         await asyncio.sleep(0.01)
 
     async def at_rest(self, running: RunningNode) -> None:
         """Nothing is left of it, in the module's books nor in the node's."""
         node = running.node
-        await until(lambda: not (node.inquiries.in_hand or node.inquiries.open_ids))
+        await until(lambda: not (node.inquiries.in_progress or node.inquiries.open_ids))
         self.assertEqual((node.balancer.inquiries, node.balancer.attempts), ({}, {}))
         self.assertEqual([server.attempts for server in node.balancer.servers.values()], [{}])
-        self.assertEqual((node.servers.connecting, node.callers.kept), (0, 0))
+        self.assertEqual((node.servers.connecting, node.callers.buffered_bytes), (0, 0))
 
     async def test_while_it_waits_for_a_connection(self) -> None:
         for cancel in (True, False):
@@ -393,7 +393,7 @@
                 await until(lambda s=server: len(s.seen) == 2)  # type: ignore[misc]
                 waiting = await running.caller()
                 waiting.send("write", b"x")
-                await until(lambda r=running: len(r.node.inquiries.in_hand) == 3)  # type: ignore[misc]
+                await until(lambda r=running: len(r.node.inquiries.in_progress) == 3)  # type: ignore[misc]
                 await self.gone(running, waiting)
                 point.go.set()
                 for caller in full:
@@ -435,7 +435,7 @@
                 await self.at_rest(running)
                 self.assertEqual(len(server.seen), 5)
 
-    @mock.patch("coraldeal.net.callers.KEPT_MOST", 1000)
+    @mock.patch("coraldeal.net.callers.MAX_BUFFERED_BODY", 1000)
     async def test_unseen_behind_a_body_that_waits_too(self) -> None:
         """Nothing is read from it then, so the loop tells of no departure: neither a close nor a reset."""
         for cancel in (True, False):
@@ -472,7 +472,7 @@
                     await until(lambda n=near: any(one._reading_paused for one in n))  # type: ignore[misc]
                     waiting.leave(reset)
                     await asyncio.sleep(0.02)
-                    self.assertEqual(len(running.node.inquiries.in_hand), 3)
+                    self.assertEqual(len(running.node.inquiries.in_progress), 3)
                     point.go.set()
                     for caller in full:
                         self.assertEqual((await caller.answer())[0], 200)
@@ -536,7 +536,7 @@
         await asyncio.sleep(0.01)
         point.go.set()
         await self.at_rest(running)
-        await until(lambda: running.node.callers.held == 0)
+        await until(lambda: running.node.callers.connection_count == 0)
         self.assertEqual(len(server.seen), 1)
 
 
@@ -547,7 +547,7 @@
     """A connection to a server that ends, or changes hands, as an attempt begins or ends on it."""
 
     async def asyncSetUp(self) -> None:
-        self.servers = Servers(clock, 3_000_000, 1_000_000, lambda: None, lambda server: True, Figures(()))
+        self.servers = Servers(clock, 3_000_000, 1_000_000, lambda: None, lambda server: True, Counters(()))
         self.addAsyncCleanup(self.servers.close)
 
     def learn(self, stand_in: StandIn, name: str = "s") -> None:
@@ -609,7 +609,7 @@
 
         async def play(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
             if first:
-                was_off.append(has_left(first[0].transport))
+                was_off.append(has_disconnected(first[0].transport))
                 writer.write(answer())
                 return
             first.append(writer)
@@ -657,7 +657,7 @@
 
         server = await self.stand_in(early)
         self.learn(server)
-        body = Body(Pieces(b"01", ends=False), 0, Progress())  # type: ignore[arg-type]
+        body = StreamedBody(Pieces(b"01", ends=False), 0, Progress())  # type: ignore[arg-type]
         call = Call("1", "read", None, None, False, GET[:-2], b"", rest=body, length=10)
 
         def stop(*told: Any) -> Any:
@@ -684,12 +684,12 @@
 
         server = await self.stand_in(break_off)
         self.learn(server)
-        body = Body(Pieces(b"0123456789"), 0, Progress())  # type: ignore[arg-type]
+        body = StreamedBody(Pieces(b"0123456789"), 0, Progress())  # type: ignore[arg-type]
         head = b"POST /read/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 10\r\n\r\n"
         call = Call("1", "read", None, None, False, head, b"", rest=body, length=10)
 
         async def drain(connection: Connection) -> None:
-            if body.read_in_all == 10:
+            if body.bytes_read == 10:
                 await drained.stop()
 
         with mock.patch.object(Connection, "_drain_helper", drain):
@@ -785,7 +785,7 @@
                 server = await self.stand_in(play)
                 running = await self.node(server)
                 caller = await running.caller()
-                with mock.patch("coraldeal.net.bodies.GRACE", 0.3 if not goes_on else 2.0):
+                with mock.patch("coraldeal.net.bodies.GRACE_SECONDS", 0.3 if not goes_on else 2.0):
                     caller.send("read", b"", "400m")
                     await point.reached.wait()
                     await asyncio.sleep(0.6)
@@ -827,7 +827,7 @@
                 with self.subTest(way=way, fresh=fresh):
                     running = await self.node(server)
                     node, caller = running.node, await running.caller()
-                    await until(lambda n=node: n.callers.held == 1)  # type: ignore[misc]
+                    await until(lambda n=node: n.callers.connection_count == 1)  # type: ignore[misc]
                     (connection,) = node.callers.server.connections
                     assert isinstance(connection, callers_module._Connection)
                     if not fresh:
@@ -835,13 +835,13 @@
                         await until(lambda c=connection: c._waiter is not None)  # type: ignore[misc]
                     # In the system's hands with this line, and the loop has no turn until all is done.
                     caller.send()
-                    with mock.patch.object(callers_module, "SILENT_LONG", 0.0):
+                    with mock.patch.object(callers_module, "UNUSED_TIMEOUT", 0.0):
                         if way == "end":
                             node.callers.begin_closing()
                         elif way == "stop":
-                            node.callers._close_idle(asked_too=False)
+                            node.callers._close_idle(include_used=False)
                         elif way == "room":
-                            self.assertFalse(node.callers.close_one_idle(pressed=True))
+                            self.assertFalse(node.callers.close_one_idle(urgent=True))
                         else:
                             connection._next_keepalive_close_time = 0.0
                             connection._process_keepalive()
@@ -851,9 +851,9 @@
         running = await self.node(await self.stand_in())
         caller, silent = await running.caller(), await running.caller()
         self.assertEqual((await caller.ask())[0], 200)
-        await until(lambda: running.node.callers.held == 2)
-        with mock.patch.object(callers_module, "SILENT_LONG", 0.0):
-            running.node.callers._close_idle(asked_too=False)
+        await until(lambda: running.node.callers.connection_count == 2)
+        with mock.patch.object(callers_module, "UNUSED_TIMEOUT", 0.0):
+            running.node.callers._close_idle(include_used=False)
         self.assertEqual(await silent.at_end(), b"")
         self.assertEqual((await caller.ask())[0], 200)
         running.node.callers.begin_closing()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -120,7 +120,7 @@
         elder = (await self.start()).node
         newcomer = (await self.start()).node
         await until(lambda: elder.callers.listener is None)
-        newcomer.callers.accept(False)
+        newcomer.callers.set_accepting(False)
         assert newcomer.succession is not None
         await newcomer.succession.link.close()
         await until(lambda: elder.callers.listener is not None)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 from coraldeal.interface import Condition, Entry, Outcome
-from coraldeal.net.figures import Figures
+from coraldeal.net.counters import Counters
 from coraldeal.net.host import clock
 from coraldeal.net.servers import Servers
 from coraldeal.net.wire import AttemptEnd, Listed
@@ -63,7 +63,7 @@
 class Trips(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self) -> None:
         self.opened = 0
-        self.servers = Servers(clock, 3 * SECOND, SECOND // 5, self.count, lambda server: True, Figures(()))
+        self.servers = Servers(clock, 3 * SECOND, SECOND // 5, self.count, lambda server: True, Counters(()))
         self.addAsyncCleanup(self.servers.close)
 
     def count(self) -> None:
