--- a/coraldeal/admin/listener.py
+++ b/coraldeal/admin/listener.py
@@ -9,7 +9,7 @@
 
 from coraldeal.admin.commands import AdminInterface, answer_line
 from coraldeal.net.accepting import Acceptor
-from coraldeal.net.listening import open_listening
+from coraldeal.net.listening import open_listening_socket
 from coraldeal.net.unread import has_unread
 
 # The longest line, in bytes.
@@ -74,7 +74,7 @@
 
     async def open(self, host: str, port: int) -> None:
         """Start listening; raises OSError when the address is in use."""
-        listening = await open_listening(host, port)
+        listening = await open_listening_socket(host, port)
         listening.listen(BACKLOG)
         self.acceptor = Acceptor(listening, lambda: _Client(self), ACCEPT_AT_ONCE)
         self.acceptor.start()
--- a/coraldeal/net/admin_interface.py
+++ b/coraldeal/net/admin_interface.py
@@ -31,7 +31,7 @@
         # Listed servers that aren't counted here are in maintenance, draining or ejected.
         now = node.host.now
         usable_servers = sum(server.ejected_until <= now for server in balancer.servers.values())
-        peer_transport = node.host.carrier
+        peer_transport = node.host.peer_transport
         message_counts = {}
         if peer_transport is not None:
             ignored = peer_transport.unreadable + peer_transport.unknown
@@ -46,15 +46,15 @@
             **message_counts,
             **list_calls,
             **({"accept_shortages": shortages} if shortages else {}),
-            "passed": counts.satisfied,
-            "dropped": counts.deferred,
-            "bad_gateway": counts.given_up,
+            "passed": counts.served,
+            "dropped": counts.rejected,
+            "bad_gateway": counts.failed,
             "upstream_tries": counts.attempts,
-            "in_progress": len(node.inquiries.in_hand) + node.callers.passing,
+            "in_progress": len(node.inquiries.in_progress) + node.callers.streaming_answers,
             "known_servers": len(balancer.listed),
             "skipped_servers": len(balancer.listed) - usable_servers,
-            "loads": counts.loads,
-            "load_errors": counts.kept,
+            "loads": counts.reloads,
+            "load_errors": counts.reload_errors,
         }
 
     def start_maintenance(self, server: ServerId) -> bool:
--- a/coraldeal/net/handover.py
+++ b/coraldeal/net/handover.py
@@ -88,7 +88,7 @@
 
     def descriptor(self) -> int:
         """Return the descriptor of the node's listening socket."""
-        return self.node.callers.descriptor()
+        return self.node.callers.listening_descriptor()
 
     def maintenance_started(self, server: str) -> None:
         """Start the maintenance of a server that the other process has put into maintenance."""
@@ -102,7 +102,7 @@
 
     def accept(self, on: bool) -> None:
         """Accept new connections from now on, or leave them to the other process."""
-        self.node.callers.accept(on)
+        self.node.callers.set_accepting(on)
 
     def set_share(self, share: float) -> None:
         """Keep to this share of the node's limits."""
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -21,8 +21,8 @@
 from coraldeal.balance import Balancer
 from coraldeal.config import NodeConfig, parse_node_config
 from coraldeal.interface import Condition, Entry, InquiryId, ListKind, PeerMessage, ServerId
+from coraldeal.net.counters import Counters
 from coraldeal.net.discovery import Discovery
-from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
 from coraldeal.net.node import REWATCH_LEAST, REWATCH_MOST
 from coraldeal.net.servers import Servers
@@ -98,7 +98,7 @@
             str(config.seed),
         )
         self.servers = Servers(
-            clock, config.conn_idle_us, config.connect_timeout_us, _nothing, self.may_send, Figures(())
+            clock, config.conn_idle_us, config.connect_timeout_us, _nothing, self.may_send, Counters(())
         )
         self.balancer = Balancer(self, config.settings, config.seed)
 
--- a/coraldeal/rig/soak/planted.py
+++ b/coraldeal/rig/soak/planted.py
@@ -18,7 +18,7 @@
 
 def pause_after_accept_failure() -> None:
     """Plant the fault that the node pauses its listener for a second when an accept fails."""
-    vars(accepting)["PAUSE_LEAST"] = vars(accepting)["PAUSE_MOST"] = 1.0
+    vars(accepting)["MIN_BACKOFF"] = vars(accepting)["MAX_BACKOFF"] = 1.0
 
 
 class _WallClock:
@@ -51,13 +51,13 @@
 
 def serve_departed_callers() -> None:
     """Plant the fault that the node continues with a request whose caller has closed the connection."""
-    vars(callers)["has_left"] = lambda *_: False
-    live = inquiry.Inquiries.live
+    vars(callers)["has_disconnected"] = lambda *_: False
+    live = inquiry.Inquiries.handle_inquiry
 
     async def run_to_the_end(self: inquiry.Inquiries, *arguments: Any) -> Any:
         return await asyncio.shield(asyncio.ensure_future(live(self, *arguments)))
 
-    vars(inquiry)["Inquiries"].live = run_to_the_end
+    vars(inquiry)["Inquiries"].handle_inquiry = run_to_the_end
 
 
 def flood_discovery() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -132,7 +132,7 @@
         predecessor = (await self.start()).node
         successor = (await self.start()).node
         await until(lambda: predecessor.callers.listener is None)
-        successor.callers.accept(False)
+        successor.callers.set_accepting(False)
         assert successor.succession is not None
         await successor.succession.link.close()
         await until(lambda: predecessor.callers.listener is not None)
