--- a/tests/run_all.py
+++ b/tests/run_all.py
@@ -1,6 +1,6 @@
-"""Runs every test but those that KNOWN-RED.txt names, which it prints: `python -m tests.run_all`.
+"""Runs all tests except the known failures in KNOWN-RED.txt, which it prints: `python -m tests.run_all`.
 
-An entry that names no test is an error: the list holds exactly what is passed over.
+An entry that names no existing test is an error, so that the list names exactly the tests that are skipped.
 """
 
 from __future__ import annotations
@@ -12,33 +12,36 @@
 
 ROOT = Path(__file__).parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-KEY = "test:"
+# The start of a line of KNOWN-RED.txt that holds the id of a test.
+TEST_PREFIX = "test:"
 
 
-def known_red(text: str) -> list[str]:
-    """The ids of the tests that a list of known failures names, each on a line of its own behind `test:`."""
-    return [line[len(KEY) :].strip() for line in text.splitlines() if line.startswith(KEY)]
+def parse_known_failures(text: str) -> list[str]:
+    """Return the test ids in a list of known failures, each on a line of its own after `test:`."""
+    return [line[len(TEST_PREFIX) :].strip() for line in text.splitlines() if line.startswith(TEST_PREFIX)]
 
 
-def each_test(suite: Iterable[unittest.TestCase | unittest.TestSuite]) -> Iterator[unittest.TestCase]:
+def iterate_tests(suite: Iterable[unittest.TestCase | unittest.TestSuite]) -> Iterator[unittest.TestCase]:
+    """Yield each test of a suite and of the suites within it."""
     for item in suite:
         if isinstance(item, unittest.TestSuite):
-            yield from each_test(item)
+            yield from iterate_tests(item)
         else:
             yield item
 
 
 def main() -> int:
-    red = known_red(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
-    tests = list(each_test(unittest.defaultTestLoader.discover("tests", top_level_dir=str(ROOT))))
-    found = {test.id() for test in tests}
-    if unknown := [name for name in red if name not in found]:
-        print(f"KNOWN-RED.txt names no test: {', '.join(unknown)}", file=sys.stderr)
+    """Run the tests; return 0 if all passed, 1 if any failed, 2 if KNOWN-RED.txt names an unknown test."""
+    known_failures = parse_known_failures(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
+    tests = list(iterate_tests(unittest.defaultTestLoader.discover("tests", top_level_dir=str(ROOT))))
+    test_ids = {test.id() for test in tests}
+    if unknown := [name for name in known_failures if name not in test_ids]:
+        print(f"KNOWN-RED.txt names tests that do not exist: {', '.join(unknown)}", file=sys.stderr)
         return 2
-    suite = unittest.TestSuite(test for test in tests if test.id() not in red)
+    suite = unittest.TestSuite(test for test in tests if test.id() not in known_failures)
     result = unittest.TextTestRunner(verbosity=2).run(suite)
-    for name in red:
-        print(f"passed over, known to fail: {name}", file=sys.stderr)
+    for name in known_failures:
+        print(f"skipped, known to fail: {name}", file=sys.stderr)
     return 0 if result.wasSuccessful() else 1
 
 
