--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -16,14 +16,14 @@
 from unittest import mock
 
 from coraldeal.interface import Outcome
-from tests.standins import Played, RunningNode, Seen, StandIn, answer, config, entry, server_list, until
+from tests.standins import Message, Responder, RunningNode, StandIn, answer, config, entry, server_list, until
 
 MIB = 1024 * 1024
 LARGE = random.Random(7).randbytes(MIB) * 5
 
 
 class BodiesCase(unittest.IsolatedAsyncioTestCase):
-    async def node(self, respond: Played, **settings: Any) -> RunningNode:
+    async def node(self, respond: Responder, **settings: Any) -> RunningNode:
         self.server = await StandIn(respond).start()
         self.addCleanup(self.server.stop)
         known = server_list(1, True, entry("s0", self.server.address))
@@ -46,7 +46,7 @@
     async def test_large_answer_is_streamed_while_it_arrives(self) -> None:
         send_rest = asyncio.Event()
 
-        async def respond(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, LARGE)[: 3 * MIB])
             await send_rest.wait()
             writer.write(answer(200, LARGE)[3 * MIB :])
@@ -86,7 +86,11 @@
         ):
 
             async def respond(
-                seen: Seen, reader: Any, writer: asyncio.StreamWriter, data: bytes = data, close: bool = close
+                seen: Message,
+                reader: Any,
+                writer: asyncio.StreamWriter,
+                data: bytes = data,
+                close: bool = close,
             ) -> None:
                 writer.write(data)
                 if close:
@@ -107,7 +111,7 @@
         for data in (answer(200, LARGE)[: 2 * MIB], chunked):
 
             async def respond(
-                seen: Seen, reader: Any, writer: asyncio.StreamWriter, data: bytes = data
+                seen: Message, reader: Any, writer: asyncio.StreamWriter, data: bytes = data
             ) -> None:
                 writer.write(data)
                 writer.close()
@@ -116,7 +120,7 @@
                 running = await self.node(respond)
                 caller = await running.caller()
                 caller.send()
-                received = await caller.at_end()
+                received = await caller.read_to_end()
                 self.assertTrue(received.startswith(b"HTTP/1.1 200"))
                 self.assertFalse(received.endswith(b"0\r\n\r\n"))
                 self.assertLess(len(received), len(LARGE))
@@ -127,7 +131,7 @@
     async def test_client_that_stops_reading_is_cut_and_little_is_buffered_for_it(self) -> None:
         sent = 0
 
-        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
             nonlocal sent
             writer.write(answer(200, LARGE * 8)[:100])
             while True:
@@ -243,7 +247,7 @@
 
 class FramingTest(BodiesCase):
     async def test_slow_answer_after_an_informational_one_is_no_stall(self) -> None:
-        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 102 Processing\r\n\r\n")
             await asyncio.sleep(0.15)
             writer.write(answer())
@@ -266,7 +270,7 @@
         self.assertEqual(self.server.seen, [])
 
     async def test_request_split_at_any_byte_is_served(self) -> None:
-        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, seen.body))
 
         running = await self.node(respond)
@@ -285,7 +289,7 @@
         self.assertEqual(self.server.seen[0].line, "POST /read/x HTTP/1.1")
 
     async def test_pipelined_head_and_http_1_0_requests_are_answered(self) -> None:
-        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, b"" if seen.line.startswith("HEAD") else seen.line.encode()))
 
         caller = await (await self.node(respond)).caller()
@@ -296,10 +300,10 @@
         caller.raw(b"HEAD /read/x HTTP/1.1\r\nHost: n\r\nReq-Id: 7\r\n\r\n")
         self.assertIn(b" 200 ", await caller.reader.readuntil(b"\r\n\r\n"))
         caller.raw(b"GET /read/x HTTP/1.0\r\nReq-Id: 8\r\nConnection: CLOSE\r\n\r\n")
-        self.assertTrue((await caller.at_end()).endswith(b"GET /read/x HTTP/1.1"))
+        self.assertTrue((await caller.read_to_end()).endswith(b"GET /read/x HTTP/1.1"))
 
     async def test_head_that_starts_late_in_the_idle_timeout_has_its_own_timeout(self) -> None:
-        async def respond(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer())
 
         with (
@@ -316,4 +320,4 @@
             self.assertEqual((await caller.answer())[0], 200)
             # Sending single bytes does not keep a connection open.
             caller.raw(b"G")
-            self.assertEqual(await caller.at_end(), b"")
+            self.assertEqual(await caller.read_to_end(), b"")
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -19,7 +19,7 @@
 from coraldeal.net.unread import has_unread
 from coraldeal.net.wire import read_list
 from coraldeal.operator import OperatorFile, read_operator_file
-from tests.standins import Seen, StandIn, answer, entry, server_list, until
+from tests.standins import Message, StandIn, answer, entry, server_list, until
 
 
 def chance(number: int) -> float:
@@ -147,7 +147,7 @@
         self.assertEqual(self.server.opened, 2)
 
     async def test_unread_close_or_bytes_are_noticed_before_the_write(self) -> None:
-        async def close(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def close(seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer())
             await writer.drain()
             self.ending = writer
@@ -158,7 +158,7 @@
             lambda w: w.write(b"noise"),
         ]
         for end in ends:
-            self.server.play = close
+            self.server.respond = close
             self.assertIs(await self.attempt(), Outcome.SERVED)
             (connection,) = self.servers.targets["s"].idle
             await asyncio.sleep(0.015)
@@ -173,12 +173,12 @@
                 left.drop()
 
     async def test_closes_of_idle_connections_are_recorded(self) -> None:
-        async def close(seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+        async def close(seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
             writer.write(answer())
             await asyncio.sleep(0.03)
             writer.close()
 
-        self.server.play = close
+        self.server.respond = close
         for number in range(12):
             self.assertIs(await self.attempt(), Outcome.SERVED)
             await until(lambda number=number: self.server.closed == number + 1)  # type: ignore[misc]
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -10,7 +10,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from tests.standins import SETTINGS, Caller, LateConnects, NodeCase, Point, Seen, answer, hang_up, until
+from tests.standins import SETTINGS, Caller, LateConnects, Message, NodeCase, Point, answer, hang_up, until
 
 SLACK = 0.15
 # The client's deadline and the delay before the attempt, in seconds.
@@ -21,7 +21,7 @@
 
 
 class DeadlineTest(NodeCase):
-    def check(self, seen: Seen, sent_at: float, seen_at: float) -> None:
+    def check(self, seen: Message, sent_at: float, seen_at: float) -> None:
         """Check the deadline in a request; the server had received it by `seen_at`."""
         text = seen.fields["req-deadline"]
         self.assertTrue(text.endswith("u"))
@@ -53,9 +53,9 @@
         self.assertEqual((await caller.answer())[0], 200)
 
     async def test_retry_has_a_reduced_deadline(self) -> None:
-        attempts: list[tuple[float, Seen]] = []
+        attempts: list[tuple[float, Message]] = []
 
-        async def respond(seen: Seen, reader: Any, writer: Any) -> None:
+        async def respond(seen: Message, reader: Any, writer: Any) -> None:
             attempts.append((time.monotonic(), seen))
             if len(attempts) == 1:
                 await asyncio.sleep(DELAY)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -19,10 +19,10 @@
 from tests.standins import (
     Caller,
     LateConnects,
+    Message,
     NodeCase,
     Point,
     RunningNode,
-    Seen,
     StandIn,
     answer,
     hang_up,
@@ -89,7 +89,7 @@
                 with self.subTest(cancel=cancel, how=how):
                     point = Point()
 
-                    async def respond(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
+                    async def respond(seen: Message, reader: Any, writer: Any, point: Point = point) -> None:
                         if point.go.is_set():
                             writer.write(answer())
                         else:
@@ -127,17 +127,19 @@
                     caller = await running.caller()
                     with LateConnects(server) as point:
 
-                        async def respond(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
+                        async def respond(
+                            seen: Message, reader: Any, writer: Any, point: Point = point
+                        ) -> None:
                             point.go.clear()
                             point.reached.clear()
                             await hang_up(seen, reader, writer)
 
-                        server.play = respond
+                        server.respond = respond
                         point.go.set()
                         caller.send()
                         await until(lambda s=server: len(s.seen) == 1)  # type: ignore[misc]
                         await point.reached.wait()
-                        server.play = serve_well
+                        server.respond = serve_well
                         if how == "stays":
                             point.go.set()
                             self.assertEqual(await caller.status(), 200)
@@ -189,7 +191,7 @@
             caller.send()
             await point.reached.wait()
             caller.writer.write_eof()
-            self.assertEqual(await caller.at_end(), b"")
+            self.assertEqual(await caller.read_to_end(), b"")
             point.go.set()
             await self.until_idle(running)
         await asyncio.sleep(0.02)
@@ -201,7 +203,7 @@
             with self.subTest(how=how):
                 point = Point()
 
-                async def respond(seen: Seen, reader: Any, writer: Any, point: Point = point) -> None:
+                async def respond(seen: Message, reader: Any, writer: Any, point: Point = point) -> None:
                     if point.go.is_set():
                         writer.write(answer())
                     else:
--- a/tests/test_drains_in_outages.py
+++ b/tests/test_drains_in_outages.py
@@ -15,7 +15,7 @@
 from zlib import crc32
 
 from tests.processes import NodeProcess
-from tests.standins import CHUNKED_HEAD, Seen, StandIn, answer, chunked, entry, server_list, until
+from tests.standins import CHUNKED_HEAD, Message, StandIn, answer, chunked, entry, server_list, until
 
 # Seconds: when a change counts as told at the latest, and after a new configuration; how long a server that
 # drains may still be sent to; how long discovery keeps a call that it does not answer, and a slow one.
@@ -29,30 +29,30 @@
 # Requests of each caller, a second.
 REQUEST_RATE = 25
 
-CallPlay = Callable[["ListService", Seen, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
+CallPlay = Callable[["ListService", Message, asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-async def fail_late(service: ListService, seen: Seen, reader: Any, writer: Any) -> None:
+async def fail_late(service: ListService, seen: Message, reader: Any, writer: Any) -> None:
     """Kept waiting until it fails, also when discovery is back meanwhile."""
     await asyncio.sleep(CALL_TIMEOUT)
     writer.write(answer(503))
 
 
-async def hang(service: ListService, seen: Seen, reader: Any, writer: Any) -> None:
+async def hang(service: ListService, seen: Message, reader: Any, writer: Any) -> None:
     """Nothing, until the node ends the connection."""
     await reader.read()
     raise ConnectionError
 
 
-async def refuse(service: ListService, seen: Seen, reader: Any, writer: Any) -> None:
+async def refuse(service: ListService, seen: Message, reader: Any, writer: Any) -> None:
     writer.write(answer(503))
 
 
-async def reset(service: ListService, seen: Seen, reader: Any, writer: Any) -> None:
+async def reset(service: ListService, seen: Message, reader: Any, writer: Any) -> None:
     writer.transport.abort()
 
 
-async def tell(service: ListService, seen: Seen, reader: Any, writer: Any) -> None:
+async def tell(service: ListService, seen: Message, reader: Any, writer: Any) -> None:
     """A watch, with the whole list first and then whatever `changes` brings."""
     writer.write(CHUNKED_HEAD + chunked(json.dumps(service.whole).encode() + b"\n"))
     service.watches.append(writer)
@@ -61,14 +61,14 @@
         writer.write(chunked(b"\n"))
 
 
-async def end_at_once(service: ListService, seen: Seen, reader: Any, writer: Any) -> None:
+async def end_at_once(service: ListService, seen: Message, reader: Any, writer: Any) -> None:
     """A watch that ends before it has told anything."""
     writer.write(CHUNKED_HEAD)
     await writer.drain()
     writer.close()
 
 
-async def tell_slowly(service: ListService, seen: Seen, reader: Any, writer: Any) -> None:
+async def tell_slowly(service: ListService, seen: Message, reader: Any, writer: Any) -> None:
     await asyncio.sleep(SLOW_ANSWER)
     await tell(service, seen, reader, writer)
 
@@ -83,7 +83,7 @@
         self.watches: list[asyncio.StreamWriter] = []
         self.whole: dict[str, Any] = {}
 
-    async def _play_next(self, seen: Seen, reader: Any, writer: asyncio.StreamWriter) -> None:
+    async def _play_next(self, seen: Message, reader: Any, writer: asyncio.StreamWriter) -> None:
         self.called_at.append(time.monotonic())
         play = self.plays.pop(0) if len(self.plays) > 1 else self.plays[0]
         await play(self, seen, reader, writer)
@@ -98,7 +98,7 @@
         self.sent_at: list[float] = []
 
     async def start(self, seed: int, ask_every: float) -> Fleet:
-        async def note(seen: Seen, reader: Any, writer: Any) -> None:
+        async def note(seen: Message, reader: Any, writer: Any) -> None:
             self.sent_at.append(time.monotonic())
             writer.write(answer())
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,9 +24,9 @@
 from tests.standins import (
     SETTINGS,
     Caller,
+    Message,
     NodeCase,
     RunningNode,
-    Seen,
     StandIn,
     config,
     entry,
@@ -128,7 +128,7 @@
                 caller = await node.caller()
                 caller.raw(data)
                 self.assertEqual(await caller.status(), status)
-                await caller.at_end()
+                await caller.read_to_end()
         expecting = await node.caller()
         expecting.raw(head + b"Expect: 100-continue\r\nContent-Length: 1\r\n\r\n")
         self.assertEqual(await expecting.status(), 100)
@@ -139,7 +139,7 @@
     async def test_request_id_in_progress_gets_409_and_the_first_request_continues(self) -> None:
         may_answer = asyncio.Event()
 
-        async def respond(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await may_answer.wait()
             await serve_well(seen, reader, writer)
 
@@ -162,7 +162,7 @@
             self.assertEqual((await idle.ask())[0], 200)
             stalled.raw(b"GET /read/x HTTP/1.1\r\nHost: n\r\nX: ")
             for caller in (silent, stalled, idle):
-                self.assertEqual(await caller.at_end(), b"")
+                self.assertEqual(await caller.read_to_end(), b"")
         self.assertEqual(node.node.callers.connection_count, 0)
 
     async def test_flood_of_malformed_requests_is_logged_in_one_line(self) -> None:
@@ -283,7 +283,7 @@
             running.node.ending.set()
             self.assertGreaterEqual((await caller.answer())[0], 500)
             self.assertLess(clock() - started_at, 800_000)
-            self.assertEqual(await caller.at_end(), b"")
+            self.assertEqual(await caller.read_to_end(), b"")
             await until(lambda: running.node.phase is Phase.ENDED, 1.0)
 
 
@@ -303,7 +303,7 @@
         for caller in later:
             self.assertEqual((await caller.ask())[0], 200)
         await until(lambda: node.node.callers.connection_count + node.node.servers.held <= 105)
-        self.assertEqual(await callers[0].at_end(), b"")
+        self.assertEqual(await callers[0].read_to_end(), b"")
 
     async def test_connections_without_requests_do_not_use_up_the_reserve(self) -> None:
         node = await self.node(await self.stand_in(), sockets=140)
@@ -343,7 +343,7 @@
 
 class ServerListTest(NodeCase):
     async def discovery(self, *lines: Any, status: int = 200, hold: bool = True) -> StandIn:
-        async def respond(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def respond(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if status != 200:
                 writer.write(f"HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n".encode())
                 return
@@ -400,7 +400,7 @@
             for cut in (1, len(change) // 2, len(change) - 1):
 
                 async def respond(
-                    seen: Seen,
+                    seen: Message,
                     reader: Any,
                     writer: asyncio.StreamWriter,
                     cut: int = cut,
@@ -426,7 +426,7 @@
         second = await self.discovery(server_list(1, True, entry("new", added.address)))
         node = await self.node(server, discovery=first.address)
         await until(lambda: len(first.seen) == 1)
-        reloads = [SettingsError("setting seed is not text"), replace(node.told, discovery=second.address)]
+        reloads = [SettingsError("setting seed is not text"), replace(node.config, discovery=second.address)]
         with (
             mock.patch.object(node.node, "read_anew", side_effect=reloads),
             self.assertLogs("coraldeal.net.node", "INFO") as logs,
@@ -489,7 +489,7 @@
         return caller
 
     async def respond_slowly(
-        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await asyncio.sleep(0.8 if len(self.server.seen) == 1 else 0)
         await serve_well(seen, reader, writer)
@@ -515,7 +515,7 @@
         for caller in (idle, await self.open()):
             status, seen = await caller.ask()
             self.assertEqual((status, seen.fields.get("connection")), (200, None))
-        self.assertEqual(await silent.at_end(), b"")
+        self.assertEqual(await silent.read_to_end(), b"")
         with self.assertRaises(ConnectionError):
             await self.open()
         # New connections are refused, and existing ones are still served.
@@ -523,11 +523,11 @@
         status, seen = await self.caller.answer()
         self.assertEqual((status, seen.body), (200, b"done"))
         # A request that can't be served any more is answered before the end, and its connection is closed.
-        self.server.play = never_answer
+        self.server.respond = never_answer
         self.caller.send("read", b"", "9000m")
         self.assertGreaterEqual((await self.caller.answer())[0], 500)
-        self.assertEqual(await self.caller.at_end(), b"")
-        self.assertEqual(await idle.at_end(), b"")
+        self.assertEqual(await self.caller.read_to_end(), b"")
+        self.assertEqual(await idle.read_to_end(), b"")
         while self.process.poll() is None:
             await asyncio.sleep(0.02)
         self.assertEqual(self.process.returncode, 0)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
 from coraldeal.interface import PeerMessage, PeerMessageKind
 from coraldeal.net.carrier import Carrier
 from coraldeal.notes import LENGTHS, pack, unpack
-from tests.standins import RunningNode, Seen, StandIn, answer, config, entry, server_list, until
+from tests.standins import Message, RunningNode, StandIn, answer, config, entry, server_list, until
 
 # A server stand-in: requests worked on at once, and the seconds that each takes. Long enough that servers are
 # the narrow part: at 20 ms it was this process, and how far a greedy kind choked them was up to the machine.
@@ -174,7 +174,7 @@
         self.done: list[str] = []
         self.held = self.most = 0
 
-    async def work(self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def work(self, seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.held += 1
         self.most = max(self.most, self.held)
         try:
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -26,9 +26,9 @@
 from coraldeal.relay.server import Relay, parse_query
 from tests.standins import (
     CHUNKED_HEAD,
+    Message,
     NodeCase,
     RunningNode,
-    Seen,
     StandIn,
     answer,
     chunked,
@@ -63,7 +63,7 @@
         self.stand_in = StandIn(self.handle_connection)
 
     async def handle_connection(
-        self, seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        self, seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Answers with the snapshot, or with a watch that lasts until the client closes it."""
         path = seen.line.split()[1]
@@ -279,7 +279,7 @@
         good = await self.start_source()
         for fault in ("silent", "aborted", "closed"):
 
-            async def respond(seen: Seen, reader: Any, writer: Any, fault: str = fault) -> None:
+            async def respond(seen: Message, reader: Any, writer: Any, fault: str = fault) -> None:
                 if "watch" not in seen.line:
                     writer.write(answer(200, encode_line(10, True, service_entry("a", "a1"))))
                     return
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -6,7 +6,7 @@
 import time
 from typing import Any
 
-from tests.standins import SETTINGS, LateConnects, NodeCase, Seen, answer, hang_up, until
+from tests.standins import SETTINGS, LateConnects, Message, NodeCase, answer, hang_up, until
 
 SECOND_NS = 10**9
 # For how many seconds servers remember a request.
@@ -30,7 +30,7 @@
         """
         came: list[float] = []
 
-        async def play(seen: Seen, reader: Any, writer: Any) -> None:
+        async def play(seen: Message, reader: Any, writer: Any) -> None:
             came.append(time.monotonic())
             if len(came) == 1:
                 late.__enter__()
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -16,8 +16,8 @@
 from coraldeal.net.servers import Servers
 from coraldeal.net.wire import AttemptEnd, Listed
 from tests.standins import (
-    Played,
-    Seen,
+    Message,
+    Responder,
     StandIn,
     answer,
     hang_up,
@@ -69,7 +69,7 @@
     def count(self) -> None:
         self.opened += 1
 
-    async def stand_in(self, play: Played = serve_well) -> StandIn:
+    async def stand_in(self, play: Responder = serve_well) -> StandIn:
         stand_in = await StandIn(play).start()
         self.addCleanup(stand_in.stop)
         self.servers.learn([Listed(entry("s"), stand_in.address)])
@@ -79,7 +79,7 @@
         return await self.servers.attempt("s", message, timeout_us)
 
     async def test_satisfied_with_report(self) -> None:
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def play(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 103 Early\r\n\r\n" + answer(200, b"ok", "Srv-Load: queue=2"))
 
         server = await self.stand_in(play)
@@ -91,7 +91,7 @@
     async def test_other_answers(self) -> None:
         replies = [answer(500), answer(503, b"", "Srv-Declined: 1"), answer(302, b"", "Location: /read/2")]
 
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def play(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(replies[len(server.seen) - 1])
 
         server = await self.stand_in(play)
@@ -100,7 +100,7 @@
         self.assertEqual(len(server.seen), 3, "a redirect is not followed")
 
     async def test_body_goes_on_as_it_came_though_it_says_it_is_compressed(self) -> None:
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def play(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, b"not gzip", "Content-Encoding: gzip", "Set-Cookie: a=b"))
 
         server = await self.stand_in(play)
@@ -112,7 +112,7 @@
     async def test_a_request_on_a_broken_reused_connection_goes_out_once(self) -> None:
         server = await self.stand_in()
         self.assertIs((await self.attempt()).outcome, Outcome.SERVED)
-        server.play = hang_up
+        server.respond = hang_up
         await asyncio.sleep(0.05)
         # A GET: a client session would repeat it here by itself.
         self.assertIs((await self.attempt()).outcome, Outcome.RESET)
@@ -191,7 +191,7 @@
         self.assertLess(took, LARGE)
 
     async def test_break_after_the_last_byte_is_a_reset(self) -> None:
-        async def cut(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def cut(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
             writer.close()
 
@@ -203,7 +203,7 @@
     async def raw(self, data: bytes, later: bytes = b"") -> tuple[StandIn, AttemptEnd]:
         """A server that answers with these bytes and keeps the connection."""
 
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def play(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(data)
             if later:
                 await asyncio.sleep(0.003)
@@ -244,7 +244,7 @@
             with self.subTest(data=data, later=later):
                 server, end = await self.raw(data, later)
                 self.assertEqual(end.answer and end.answer.body, b"good")
-                server.play = serve_well
+                server.respond = serve_well
                 end = await self.attempt()
                 self.assertEqual(end.answer and end.answer.body, b"done")
                 self.assertEqual(server.opened, 2)
@@ -350,7 +350,7 @@
     async def test_latest_connection_is_reused_and_idle_ones_are_closed_early(self) -> None:
         let_go = asyncio.Event()
 
-        async def together(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def together(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             ports.append(writer.get_extra_info("peername")[1])
             if len(ports) == 2:
                 let_go.set()
@@ -370,7 +370,7 @@
         await until(lambda: server.closed == 2, 2.9)
 
     async def test_what_came_unasked_is_no_answer(self) -> None:
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def play(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, b"asked"))
             if len(server.seen) == 1:
                 await writer.drain()
@@ -391,7 +391,7 @@
         self.assertEqual(server.seen, [])
 
     async def test_probe(self) -> None:
-        async def play(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def play(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(answer(200, b"inflight=3,queue=1"))
 
         server = await self.stand_in(play)
--- a/tests/test_stepped_clocks.py
+++ b/tests/test_stepped_clocks.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from tests.processes import ROOT, NodeProcess
-from tests.standins import CHUNKED_HEAD, Caller, Seen, StandIn, answer, chunked, entry, server_list, until
+from tests.standins import CHUNKED_HEAD, Caller, Message, StandIn, answer, chunked, entry, server_list, until
 
 HOUR = 3600.0
 # Requests per second, and the rules for a server in slow start.
@@ -59,18 +59,18 @@
     async def run(self, joins_after: float, seconds: float) -> None:
         test, watches = self.test, []
 
-        async def serve_list(seen: Seen, reader: Any, writer: Any) -> None:
+        async def serve_list(seen: Message, reader: Any, writer: Any) -> None:
             writer.write(CHUNKED_HEAD + chunked(json.dumps(server_list(1, False)).encode() + b"\n"))
             watches.append(writer)
             while not writer.is_closing():
                 await asyncio.sleep(2.0)
                 writer.write(chunked(b"\n"))
 
-        async def record(seen: Seen, reader: Any, writer: Any) -> None:
+        async def record(seen: Message, reader: Any, writer: Any) -> None:
             self.all_times.append(time.monotonic() - listed_at)
             writer.write(answer())
 
-        async def record_joined(seen: Seen, reader: Any, writer: Any) -> None:
+        async def record_joined(seen: Message, reader: Any, writer: Any) -> None:
             self.joined_times.append(time.monotonic() - listed_at)
             await record(seen, reader, writer)
 
