--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,7 +1,8 @@
-"""Notes between nodes, and nodes of both shapes before the same servers during a move.
+"""Peer messages, and nodes with and without them in front of the same servers, as during a migration.
 
-The old shape: few nodes in a pool, no messages. The new: a node beside each client process, with books of
-servers kept among them. All on loopback; a server stand-in works on so many at once and queues the rest.
+Nodes of the old kind form a small pool and exchange no messages. Nodes of the new kind run beside each client
+process and exchange in-flight counts of servers. A kind that ignored the load of the other would starve it.
+All run on loopback; a server stand-in works on a few requests at once and queues the others.
 """
 
 from __future__ import annotations
@@ -18,23 +19,23 @@
 from coraldeal.balance import Balancer
 from coraldeal.config import SettingsError
 from coraldeal.interface import PeerMessage, PeerMessageKind
-from coraldeal.net.carrier import Carrier
-from coraldeal.notes import LENGTHS, pack, unpack
+from coraldeal.net.peer_transport import PeerTransport
+from coraldeal.peer_messages import LENGTHS, decode_message, encode_message
 from tests.standins import RunningNode, Seen, StandIn, answer, config, entry, server_list, until
 
-# A server stand-in: requests worked on at once, and the seconds that each takes. Long enough that servers are
-# the narrow part: at 20 ms it was this process, and how far a greedy kind choked them was up to the machine.
+# Requests that a server stand-in works on at once, and the seconds that each takes. Long enough that servers
+# are the bottleneck: at 20 ms this process was, and the effect of a greedy kind depended on the machine.
 AT_ONCE = 2
 WORK = 0.1
-# How often a client sends, in seconds, unless an answer is still to come: two thirds of what servers can do.
+# Seconds between the requests of a client that has its answer: two thirds of the capacity of the servers.
 EVERY = 0.4
-# The least part that either kind must have served, and the least of the other's part.
-LEAST_SERVED = 0.7
-LEAST_OF_OTHER = 0.7
+# The minimum served fraction of either kind's requests, and its minimum ratio to the other's fraction.
+MIN_SERVED = 0.7
+MIN_RATIO = 0.7
 
 
 def free_ports(count: int) -> list[int]:
-    """Loopback ports that nobody has bound for datagrams."""
+    """Return unused loopback ports for datagrams."""
     held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
     for one in held:
         one.bind(("127.0.0.1", 0))
@@ -44,67 +45,67 @@
     return ports
 
 
-class Words(unittest.TestCase):
-    def test_notes_go_out_and_come_back_the_same(self) -> None:
-        for note in (
+class Encoding(unittest.TestCase):
+    def test_encoded_messages_are_decoded_unchanged(self) -> None:
+        for message in (
             PeerMessage(PeerMessageKind.ASK, 0xABCDEF, 3),
             PeerMessage(PeerMessageKind.ANSWER, 1, 255, global_limit=7.25),
             PeerMessage(PeerMessageKind.SENT, 0, 0),
             PeerMessage(PeerMessageKind.ENDED, 77, 2, in_flight_at_start=9, latency_us=120_000),
         ):
-            self.assertEqual(unpack(pack(note)), note)
-            self.assertEqual(len(pack(note)), LENGTHS[note.kind])
+            self.assertEqual(decode_message(encode_message(message)), message)
+            self.assertEqual(len(encode_message(message)), LENGTHS[message.kind])
 
-    def test_figures_too_large_are_told_as_the_largest(self) -> None:
+    def test_numbers_too_large_for_their_field_become_the_largest(self) -> None:
         self.assertEqual(
-            unpack(pack(PeerMessage(PeerMessageKind.SENT, 1, 4000))),
+            decode_message(encode_message(PeerMessage(PeerMessageKind.SENT, 1, 4000))),
             PeerMessage(PeerMessageKind.SENT, 1, 255),
         )
-        ended = unpack(
-            pack(PeerMessage(PeerMessageKind.ENDED, 1, 0, in_flight_at_start=300, latency_us=10**9))
+        ended = decode_message(
+            encode_message(PeerMessage(PeerMessageKind.ENDED, 1, 0, in_flight_at_start=300, latency_us=10**9))
         )
         self.assertEqual(
             ended, PeerMessage(PeerMessageKind.ENDED, 1, 0, in_flight_at_start=255, latency_us=65_535_000)
         )
 
-    def test_anything_else_is_no_note_and_never_an_error(self) -> None:
+    def test_invalid_bytes_are_no_message_and_raise_no_error(self) -> None:
         chance = random.Random(7)
         for length in range(20):
             for _ in range(200):
-                words = chance.randbytes(length)
-                note = unpack(words)
-                if note is not None:
-                    self.assertEqual(len(pack(note)), length)
-        for words in (
+                data = chance.randbytes(length)
+                message = decode_message(data)
+                if message is not None:
+                    self.assertEqual(len(encode_message(message)), length)
+        for data in (
             b"",
             b"\x01",
             b"\x09abcd",
             b"\x01abcde",
-            pack(PeerMessage(PeerMessageKind.ENDED, 1, 1))[:-1],
+            encode_message(PeerMessage(PeerMessageKind.ENDED, 1, 1))[:-1],
         ):
-            self.assertIsNone(unpack(words))
+            self.assertIsNone(decode_message(data))
 
 
 class Configuration(unittest.TestCase):
-    def refused(self, peers: Any, bounds: bool, key: str) -> None:
+    def assert_refused(self, peers: Any, bounds: bool, key: str) -> None:
         with self.assertRaises(SettingsError) as caught:
             config(server_list(1, True), peers=peers, bounds={"peers": bounds})
         self.assertIn(key, str(caught.exception))
 
-    def test_a_wrong_key_is_named(self) -> None:
+    def test_error_names_the_invalid_key(self) -> None:
         good = ["127.0.0.1:9001", "127.0.0.1:9002"]
-        self.refused({"nodes": good, "self": 0}, False, "settings.bounds.peers")
-        self.refused({"nodes": good}, True, "peers.self is missing")
-        self.refused({"nodes": good, "self": 2}, True, "peers.self")
-        self.refused({"nodes": good, "self": -1}, True, "peers.self")
-        self.refused({"self": 0}, True, "peers.nodes is missing")
-        self.refused({"nodes": "x", "self": 0}, True, "peers.nodes is not a list")
-        self.refused({"nodes": ["127.0.0.1:1", "host:2"], "self": 0}, True, "peers.nodes[1]")
-        self.refused({"nodes": ["127.0.0.1:1", 7], "self": 0}, True, "peers.nodes[1]")
-        self.refused({"nodes": ["127.0.0.1:1", "127.0.0.1:1"], "self": 0}, True, "twice")
-        self.refused(7, True, "peers is not an object")
-
-    def test_off_unless_named(self) -> None:
+        self.assert_refused({"nodes": good, "self": 0}, False, "settings.bounds.peers")
+        self.assert_refused({"nodes": good}, True, "peers.self is missing")
+        self.assert_refused({"nodes": good, "self": 2}, True, "peers.self")
+        self.assert_refused({"nodes": good, "self": -1}, True, "peers.self")
+        self.assert_refused({"self": 0}, True, "peers.nodes is missing")
+        self.assert_refused({"nodes": "x", "self": 0}, True, "peers.nodes is not a list")
+        self.assert_refused({"nodes": ["127.0.0.1:1", "host:2"], "self": 0}, True, "peers.nodes[1]")
+        self.assert_refused({"nodes": ["127.0.0.1:1", 7], "self": 0}, True, "peers.nodes[1]")
+        self.assert_refused({"nodes": ["127.0.0.1:1", "127.0.0.1:1"], "self": 0}, True, "twice")
+        self.assert_refused(7, True, "peers is not an object")
+
+    def test_peer_messages_are_off_unless_peers_are_configured(self) -> None:
         plain = config(server_list(1, True), bounds={"peers": True})
         self.assertEqual((plain.peers, plain.settings.peers), (None, 0))
         self.assertFalse(Balancer(mock.Mock(now=0), plain.settings, 1).has_peers)
@@ -112,65 +113,67 @@
         named = config(server_list(1, True), peers=peers, bounds={"peers": True})
         self.assertEqual((named.settings.peers, named.settings.peer_index), (2, 1))
 
-    def test_a_weight_that_is_none_counts_as_usual(self) -> None:
-        from coraldeal.net.wire import read_list
+    def test_invalid_weight_counts_as_one(self) -> None:
+        from coraldeal.net.wire import parse_server_list
 
         for weight, size in ((2.5, 2.5), (0, 1.0), (-1, 1.0), ("x", 1.0), (None, 1.0), (True, 1.0)):
             line = {**entry("a", "127.0.0.1:1"), "weight": weight}
-            self.assertEqual(read_list(server_list(1, True, line), 0).servers[0].entry.size, size)
+            self.assertEqual(parse_server_list(server_list(1, True, line), 0).servers[0].entry.size, size)
 
 
-class Carriers(unittest.IsolatedAsyncioTestCase):
-    async def open(self, count: int) -> tuple[list[Carrier], list[list[tuple[int, PeerMessage]]]]:
+class PeerTransports(unittest.IsolatedAsyncioTestCase):
+    async def open(self, count: int) -> tuple[list[PeerTransport], list[list[tuple[int, PeerMessage]]]]:
         nodes = tuple(("127.0.0.1", port) for port in free_ports(count))
-        came: list[list[tuple[int, PeerMessage]]] = [[] for _ in nodes]
+        received: list[list[tuple[int, PeerMessage]]] = [[] for _ in nodes]
 
-        def into(found: list[tuple[int, PeerMessage]]) -> Callable[[int, PeerMessage], None]:
-            return lambda peer, note: found.append((peer, note))
+        def collector(messages: list[tuple[int, PeerMessage]]) -> Callable[[int, PeerMessage], None]:
+            return lambda peer, message: messages.append((peer, message))
 
-        carriers = [Carrier(nodes, number, into(came[number])) for number in range(count)]
-        for carrier in carriers:
-            await carrier.open()
-            self.addCleanup(carrier.close)
-        return carriers, came
+        transports = [PeerTransport(nodes, number, collector(received[number])) for number in range(count)]
+        for transport in transports:
+            await transport.open()
+            self.addCleanup(transport.close)
+        return transports, received
 
-    async def test_told_by_number_and_bad_datagrams_passed_over(self) -> None:
-        carriers, came = await self.open(2)
+    async def test_messages_are_received_by_node_number_and_invalid_datagrams_ignored(self) -> None:
+        transports, received = await self.open(2)
         stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         with stranger, self.assertLogs("coraldeal.carrier") as logs:
             for _ in range(3):
-                stranger.sendto(pack(PeerMessage(PeerMessageKind.SENT, 1, 1)), carriers[0].nodes[0])
-            transport = carriers[1].transport
+                stranger.sendto(
+                    encode_message(PeerMessage(PeerMessageKind.SENT, 1, 1)), transports[0].nodes[0]
+                )
+            transport = transports[1].transport
             assert transport is not None
-            for words in (b"", b"\x07", b"x" * 1000):
-                transport.sendto(words, carriers[0].nodes[0])
-            carriers[1].tell(0, PeerMessage(PeerMessageKind.SENT, 5, 2))
-            await until(lambda: bool(came[0]) and carriers[0].unknown == 3)
-        self.assertEqual(came[0], [(1, PeerMessage(PeerMessageKind.SENT, 5, 2))])
-        self.assertGreaterEqual(carriers[0].unreadable, 2)
+            for data in (b"", b"\x07", b"x" * 1000):
+                transport.sendto(data, transports[0].nodes[0])
+            transports[1].send(0, PeerMessage(PeerMessageKind.SENT, 5, 2))
+            await until(lambda: bool(received[0]) and transports[0].unknown == 3)
+        self.assertEqual(received[0], [(1, PeerMessage(PeerMessageKind.SENT, 5, 2))])
+        self.assertGreaterEqual(transports[0].invalid, 2)
         self.assertEqual(len(logs.output), 2)
 
-    async def test_an_address_in_use_is_tried_again(self) -> None:
-        (before, other), came = await self.open(2)
-        after = Carrier(before.nodes, 0, lambda peer, note: came[0].append((peer, note)))
+    async def test_address_in_use_is_tried_again(self) -> None:
+        (before, other), received = await self.open(2)
+        after = PeerTransport(before.nodes, 0, lambda peer, message: received[0].append((peer, message)))
         self.addCleanup(after.close)
-        with mock.patch("coraldeal.net.carrier.AGAIN", 0.01):
+        with mock.patch("coraldeal.net.peer_transport.BIND_RETRY_INTERVAL", 0.01):
             await after.open()
             self.assertIsNone(after.transport)
-            after.tell(1, PeerMessage(PeerMessageKind.SENT, 1, 1))
+            after.send(1, PeerMessage(PeerMessageKind.SENT, 1, 1))
             self.assertEqual(after.unsent, 1)
             before.close()
             await until(lambda: after.transport is not None)
-        other.tell(0, PeerMessage(PeerMessageKind.SENT, 9, 1))
-        await until(lambda: came[0] == [(1, PeerMessage(PeerMessageKind.SENT, 9, 1))])
+        other.send(0, PeerMessage(PeerMessageKind.SENT, 9, 1))
+        await until(lambda: received[0] == [(1, PeerMessage(PeerMessageKind.SENT, 9, 1))])
 
 
 class Server(StandIn):
-    """Works on a few requests at once; counts what it has done, by id, and the most it held."""
+    """Works on a few requests at once; records the ids of those done, and the most it held at a time."""
 
     def __init__(self) -> None:
         super().__init__(self.work)
-        self.places = asyncio.Semaphore(AT_ONCE)
+        self.slots = asyncio.Semaphore(AT_ONCE)
         self.done: list[str] = []
         self.held = self.most = 0
 
@@ -178,7 +181,7 @@
         self.held += 1
         self.most = max(self.most, self.held)
         try:
-            async with self.places:
+            async with self.slots:
                 await asyncio.sleep(WORK)
             self.done.append(seen.fields["req-id"])
             writer.write(answer())
@@ -186,11 +189,11 @@
             self.held -= 1
 
 
-class Both(unittest.IsolatedAsyncioTestCase):
-    """Two pool nodes and four nodes beside clients, three servers, two thirds of what these can do."""
+class MixedNodes(unittest.IsolatedAsyncioTestCase):
+    """Two pool nodes, four nodes beside clients and three servers, at two thirds of their capacity."""
 
     async def asyncSetUp(self) -> None:
-        # In debug mode the loop takes several times as long for an inquiry.
+        # In debug mode, the event loop takes several times as long for an inquiry.
         asyncio.get_running_loop().set_debug(False)
 
     async def play(self, greedy: bool = False) -> tuple[dict[str, list[int]], list[Server], float]:
@@ -209,7 +212,7 @@
             new = config(known, peers=peers, instances=6, self_index=2 + number, bounds={"peers": True})
             nodes.append(("new", await self.enterAsyncContext(RunningNode(new))))
         if greedy:
-            # A kind that takes too much: all it has goes out at once, whatever books and caps say.
+            # The new kind sends everything at once, ignoring in-flight counts and limits.
             for kind, running in nodes:
                 if kind == "new":
                     running.node.balancer._has_room = lambda *_: True  # type: ignore[method-assign]
@@ -233,33 +236,33 @@
         end = time.monotonic() + 3.0
         of: list[tuple[str, RunningNode]] = []
         for kind, running in nodes:
-            # The same traffic of each kind: an old node has the clients of two new ones.
+            # Each kind has the same traffic: an old node has the clients of two new ones.
             of += [(kind, running)] * (4 if kind == "old" else 2) * (12 if greedy and kind == "new" else 1)
         await asyncio.gather(*(client(*one, EVERY * place / len(of)) for place, one in enumerate(of)))
         return statuses, servers, longest
 
-    def judge(self, statuses: dict[str, list[int]], servers: list[Server]) -> None:
-        """Raises AssertionError where a rule is broken or a kind goes short."""
+    def check(self, statuses: dict[str, list[int]], servers: list[Server]) -> None:
+        """Raise AssertionError if an inquiry ran twice or a kind was starved."""
         done = [name for server in servers for name in server.done]
-        assert len(done) == len(set(done)), "an effect twice"
-        part = {}
+        assert len(done) == len(set(done)), "an inquiry ran twice"
+        served = {}
         for kind, all_of in statuses.items():
-            part[kind] = all_of.count(200) / max(1, len(all_of))
-        least, most = sorted(part.values())
-        assert least >= LEAST_SERVED and least >= LEAST_OF_OTHER * most, f"served: {part}"
+            served[kind] = all_of.count(200) / max(1, len(all_of))
+        least, most = sorted(served.values())
+        assert least >= MIN_SERVED and least >= MIN_RATIO * most, f"served: {served}"
         for kind, all_of in statuses.items():
             assert set(all_of) <= {200, 503}, f"{kind}: {sorted(set(all_of))}"
 
-    async def test_rules_hold_and_neither_kind_starves_the_other(self) -> None:
+    async def test_neither_kind_starves_the_other_and_nothing_runs_twice(self) -> None:
         statuses, servers, longest = await self.play()
-        self.judge(statuses, servers)
-        self.assertLess(longest, 1.0, "an answer after the client's time")
+        self.check(statuses, servers)
+        self.assertLess(longest, 1.0, "an answer came after the deadline")
         self.assertGreater(min(len(server.done) for server in servers), 20)
 
-    async def test_a_kind_that_takes_too_much_is_seen(self) -> None:
+    async def test_greedy_kind_is_detected(self) -> None:
         statuses, servers, _ = await self.play(greedy=True)
         with self.assertRaisesRegex(AssertionError, "served"):
-            self.judge(statuses, servers)
+            self.check(statuses, servers)
 
 
 if __name__ == "__main__":
