--- a/coraldeal/net/wire.py
+++ b/coraldeal/net/wire.py
@@ -1,6 +1,6 @@
-"""The network's words to and from our types: headers, answers, load reports, the list of servers. All pure.
+"""Encodes and parses what the node exchanges with others: requests, answers, load reports, the server list.
 
-Beyond this file a request is an inquiry and an attempt is an attempt.
+All functions are pure. Outside this module, a request is an inquiry, and each time it is sent is an attempt.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 if TYPE_CHECKING:
     from coraldeal.net.bodies import Body
-    from coraldeal.net.servers import Rest
+    from coraldeal.net.servers import AnswerStream
 
 READY_PATH = "/ready"
 HEALTH_PATH = "/health"
 LOAD_PATH = "/status/load"
 LIST_PATH = "/v1/endpoints"
 
-# Up to what length an answer, and a body in any case, is taken whole.
-BODY_MOST = 64 * 1024
+# Bytes up to which an answer is buffered whole, and up to which a request body always is.
+MAX_BUFFERED_BODY = 64 * 1024
 
-CONDITIONS = {"Ready": Condition.READY, "Terminating": Condition.DRAINING, "Gone": Condition.GONE}
-UNITS = {"m": 1000, "u": 1}
+CONDITION_BY_LIFECYCLE = {"Ready": Condition.READY, "Terminating": Condition.DRAINING, "Gone": Condition.GONE}
+UNIT_US = {"m": 1000, "u": 1}
 METHODS = ("GET", "POST", "HEAD")
 
-# What belongs to one connection, or is written anew for each.
-OF_THE_HOP = {
+# Header fields that belong to one connection, or are written anew for each.
+HOP_BY_HOP_FIELDS = {
     b"connection",
     b"keep-alive",
     b"proxy-connection",
@@ -46,21 +46,23 @@
     b"content-length",
     b"expect",
 }
-NOT_TO_SERVERS = OF_THE_HOP | {b"req-deadline", b"req-retry"}
-NOT_TO_CALLERS = OF_THE_HOP | {b"srv-load", b"srv-declined", b"date", b"server"}
+NOT_FORWARDED_TO_SERVERS = HOP_BY_HOP_FIELDS | {b"req-deadline", b"req-retry"}
+NOT_FORWARDED_TO_CALLERS = HOP_BY_HOP_FIELDS | {b"srv-load", b"srv-declined", b"date", b"server"}
 
-# What frames an object in a stream of JSON: whole strings, braces, and the quote of a string not yet whole.
-_FRAME = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}"]', re.DOTALL)
-# An object of a watch may hold so many bytes; a list of ten thousand servers has some two million.
-OBJECT_MOST = 16 * 1024 * 1024
+# The tokens that delimit an object in a stream of JSON: whole strings, braces, and the opening quote of a
+# string that is still incomplete.
+_DELIMITERS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}"]', re.DOTALL)
+# The largest object of a watch, in bytes, so that a faulty source can't use up the memory. A list of ten
+# thousand servers has about two million bytes.
+MAX_OBJECT_BYTES = 16 * 1024 * 1024
 
 _DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,9})?)([mu])")
 
 RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
-class BadCall(Exception):
-    """A request that no inquiry can be made of."""
+class InvalidRequestError(Exception):
+    """A caller's request that can't be served; `status` is the HTTP status of the answer."""
 
     def __init__(self, status: int, text: str) -> None:
         super().__init__(text)
@@ -68,32 +70,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """A caller's request: the fields that decisions need, and the bytes that go on unchanged."""
+class CallerRequest:
+    """A caller's request: the fields that the decisions need, and the bytes that are forwarded unchanged."""
 
     request_id: str
-    track: str
+    request_class: str
     tenant: str | None
-    # How long the caller will wait; None: as long as the track's patience.
-    left_us: int | None
-    repeat: bool
+    # How long the caller will wait, in microseconds; None: as long as its class's deadline.
+    time_left_us: int | None
+    is_retry: bool
     head: bytes
     body: bytes
-    # What is still to come of a large body, and the length of all of it where that is known.
-    rest: Body | None = None
+    # The unread remainder of a large body, and the length of the whole body if it is known.
+    body_stream: Body | None = None
     length: int | None = None
 
-    def written(self, wait_us: int) -> bytes:
-        """The bytes of one attempt, which tell the server how long the node will wait."""
-        if self.rest is not None and self.length is None:
+    def encode_attempt(self, wait_us: int) -> bytes:
+        """Return the bytes of one attempt, with `wait_us` as the time that the node will wait."""
+        if self.body_stream is not None and self.length is None:
             form = b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(self.body), self.body)
         else:
             length = len(self.body) if self.length is None else self.length
             form = b"Content-Length: %d\r\n\r\n%b" % (length, self.body)
         return b"%bReq-Deadline: %du\r\n%b" % (self.head, max(1, wait_us), form)
 
-    def framed(self, piece: bytes) -> bytes:
-        """One more piece of the rest, empty for its end, as it is written."""
+    def encode_piece(self, piece: bytes) -> bytes:
+        """Return a piece of the body's remainder as it is written; an empty piece encodes the body's end."""
         if self.length is not None:
             return piece
         return b"%x\r\n%b\r\n" % (len(piece), piece)
@@ -101,18 +103,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What a caller is told at the end."""
+    """The final answer to a caller."""
 
     status: int
     body: bytes = b""
     headers: tuple[tuple[str, str], ...] = ()
-    # What is still to come of it, where it is passed on as it comes.
-    rest: Rest | None = None
+    # The remainder of the body, if the answer is streamed.
+    body_stream: AnswerStream | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """How an attempt or a probe ended, with the answer where there was one."""
+    """How an attempt or a probe ended, with the load report and the answer if there were any."""
 
     outcome: Outcome
     latency_us: int
@@ -120,95 +122,104 @@
     answer: Answer | None = None
 
 
-class Listed(NamedTuple):
-    """A line of the list of servers and where that server is reached from here."""
+class ListEntry(NamedTuple):
+    """An entry of the server list, and the address (host:port) at which the server is reached."""
 
     entry: Entry
     address: str
 
 
 class ServerList(NamedTuple):
-    """A whole list or changes of it."""
+    """A snapshot of the server list, or a delta."""
 
     version: int
-    whole: bool
-    servers: list[Listed]
-    # When each started, in Unix milliseconds as the list words it, 0 for long ago.
+    is_snapshot: bool
+    servers: list[ListEntry]
+    # When each server started, in Unix milliseconds as in the list; 0: long ago.
     started_ms: Mapping[ServerId, int] = MappingProxyType({})
 
 
-def _duration_us(text: str) -> int:
+def _parse_duration_us(text: str) -> int:
     match = _DURATION.fullmatch(text)
     if match is None:
-        raise BadCall(400, "Req-Deadline is not a number with the unit m or u")
-    return int(float(match[1]) * UNITS[match[2]])
+        raise InvalidRequestError(400, "Req-Deadline is not a number with the unit m or u")
+    return int(float(match[1]) * UNIT_US[match[2]])
 
 
-def _kept(headers: RawHeaders, dropped: Collection[bytes]) -> list[tuple[bytes, bytes]]:
+def _without(headers: RawHeaders, dropped: Collection[bytes]) -> list[tuple[bytes, bytes]]:
     return [(name, value) for name, value in headers if name.lower() not in dropped]
 
 
-def track_of(target: str) -> str:
-    """The first part of the path."""
+def request_class_of(target: str) -> str:
+    """Return the name of the request class: the first segment of the path."""
     return path_of(target).partition("?")[0].lstrip("/").partition("/")[0]
 
 
 def path_of(target: str) -> str:
-    """A target in absolute form without its scheme and host."""
+    """Return the path and query of a request target, also of one in absolute form."""
     if target[:7].lower() == "http://":
         return "/" + target[7:].partition("/")[2]
     return target
 
 
-def read_call(
-    method: str, target: str, fields: Mapping[str, str], raw: RawHeaders, body: bytes, tracks: Collection[str]
-) -> Call:
-    """An inquiry from a caller's request, with as much of its body as has come."""
+def parse_request(
+    method: str,
+    target: str,
+    fields: Mapping[str, str],
+    raw: RawHeaders,
+    body: bytes,
+    request_classes: Collection[str],
+) -> CallerRequest:
+    """Parse a caller's request, with as much of its body as was read; raises InvalidRequestError."""
     target = path_of(target)
-    track = track_of(target)
-    if not target.startswith("/") or track not in tracks:
-        raise BadCall(404, "the first part of the path names no class of request known here")
+    request_class = request_class_of(target)
+    if not target.startswith("/") or request_class not in request_classes:
+        raise InvalidRequestError(404, "the first part of the path names no class of request known here")
     if method not in METHODS:
-        raise BadCall(405, "the method is none of GET, POST and HEAD")
+        raise InvalidRequestError(405, "the method is none of GET, POST and HEAD")
     request_id = fields.get("Req-Id", "").strip()
     if not request_id:
-        raise BadCall(400, "Req-Id is missing")
+        raise InvalidRequestError(400, "Req-Id is missing")
     deadline = fields.get("Req-Deadline")
-    dropped = NOT_TO_SERVERS
+    dropped = NOT_FORWARDED_TO_SERVERS
     if "Connection" in fields:
         dropped = dropped | {name.strip().lower().encode() for name in fields["Connection"].split(",")}
-    lines = b"".join(b"%b: %b\r\n" % pair for pair in _kept(raw, dropped))
-    return Call(
+    lines = b"".join(b"%b: %b\r\n" % pair for pair in _without(raw, dropped))
+    return CallerRequest(
         request_id=request_id,
-        track=track,
+        request_class=request_class,
         tenant=fields.get("Req-Owner"),
-        left_us=None if deadline is None else _duration_us(deadline),
-        repeat=fields.get("Req-Retry") == "1",
+        time_left_us=None if deadline is None else _parse_duration_us(deadline),
+        is_retry=fields.get("Req-Retry") == "1",
         head=f"{method} {target} HTTP/1.1\r\n".encode("utf-8", "surrogateescape") + lines,
         body=body,
     )
 
 
-def probe_bytes(address: str, with_report: bool) -> bytes:
-    """The bytes of a probe."""
+def encode_probe(address: str, with_report: bool) -> bytes:
+    """Return the bytes of a health check, or of a load report request."""
     path = LOAD_PATH if with_report else HEALTH_PATH
     return f"GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
 
 
-def read_answer(
-    status: int, fields: Mapping[str, str], raw: RawHeaders, body: bytes, rest: Rest | None = None
+def parse_answer(
+    status: int,
+    fields: Mapping[str, str],
+    raw: RawHeaders,
+    body: bytes,
+    body_stream: AnswerStream | None = None,
 ) -> tuple[Outcome, Answer]:
-    """A server's answer to an attempt."""
+    """Return an attempt's outcome and the caller's answer, from a server's answer."""
     if status == 200:
-        kept = _kept(raw, NOT_TO_CALLERS)
+        kept = _without(raw, NOT_FORWARDED_TO_CALLERS)
         headers = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in kept)
-        return Outcome.SERVED, Answer(200, body, headers, rest)
+        return Outcome.SERVED, Answer(200, body, headers, body_stream)
     declined = status in (503, 504) and fields.get("Srv-Declined") == "1"
     return (Outcome.FULL if declined else Outcome.ERROR), Answer(status)
 
 
-def read_report(text: str | None) -> dict[str, float] | None:
-    """A load report; a figure that is none is passed over, for a report must not fail an answer."""
+def parse_load_report(text: str | None) -> dict[str, float] | None:
+    """Parse a load report. Invalid values are skipped, since a report must not fail an answer."""
     if not text:
         return None
     report = {}
@@ -223,80 +234,87 @@
     return report or None
 
 
-def deferral(pause_us: int) -> Answer:
-    """Not now; asking again does no harm."""
-    return Answer(503, headers=(("Retry-After", f"{pause_us / 1e6:.3f}"),) if pause_us > 0 else ())
+def rejection(retry_after_us: int) -> Answer:
+    """Return the answer of a rejected request: a retry is safe, at best after this time (0: no advice)."""
+    return Answer(
+        503, headers=(("Retry-After", f"{retry_after_us / 1e6:.3f}"),) if retry_after_us > 0 else ()
+    )
 
 
 def failure(status: int = 502) -> Answer:
-    """Failed; promises nothing about the effect."""
+    """Return the answer of a failed request, which may or may not have been executed."""
     return Answer(status)
 
 
-def _size(weight: Any) -> float:
-    """A server's size; one that is none must not end the watch, so it counts as usual."""
+def _parse_size(weight: Any) -> float:
+    """Return a server's size. An invalid weight must not end the watch, so it counts as 1."""
     usable = isinstance(weight, int | float) and not isinstance(weight, bool) and 0 < weight < math.inf
     return float(weight) if usable else 1.0
 
 
 def list_url(address: str, services: Sequence[str], after: int | None = None) -> URL:
-    """Where the list is asked for, a watch where `after` is named; -1: from nothing on."""
+    """Return the URL of the server list, or of a watch after the version `after` (-1: from the start)."""
     query = [] if after is None else ["watch=1"]
     if after is not None and after >= 0:
         query.append(f"after={after}")
     if services:
         query.append("services=" + ",".join(quote(name, safe="") for name in services))
-    # As it stands: a comma within a name must not become one between two.
+    # Encoded here: a comma within a name must not become a separator of names.
     return URL(f"http://{address}{LIST_PATH}" + ("?" + "&".join(query) if query else ""), encoded=True)
 
 
-class Objects:
-    """JSON objects out of a stream of bytes, however these are cut into pieces or the objects into lines."""
+class JsonObjectStream:
+    """Splits a stream of bytes into JSON objects, independent of how it is cut into pieces or lines."""
 
-    __slots__ = ("at", "begun", "depth", "held")
+    __slots__ = ("buffer", "has_started", "open_braces", "scanned")
 
     def __init__(self) -> None:
-        # What has come of the object not yet whole, how far that was looked through, how many braces are open
-        # there, and whether it has begun: blanks between two objects are no sign of one.
-        self.held = b""
-        self.at = self.depth = 0
-        self.begun = False
+        # The bytes of the incomplete object, how many of them were scanned, how many braces are open there,
+        # and whether the object has started: white space between objects starts none.
+        self.buffer = b""
+        self.scanned = self.open_braces = 0
+        self.has_started = False
 
     def feed(self, piece: bytes) -> Iterator[bytes]:
-        """Each object that is whole with this piece; behind them ValueError for what can't begin one, or is
-        too long."""
-        self.held += piece
-        while self._began() and (end := self._end()) > 0:
-            whole = self.held[:end]
-            self.held, self.at, self.begun = self.held[end:], 0, False
-            yield whole
-        if len(self.held) > OBJECT_MOST:
-            raise ValueError(f"an object of more than {OBJECT_MOST} bytes")
-
-    def _began(self) -> bool:
-        if not self.begun:
-            self.held = self.held.lstrip()
-            self.begun = bool(self.held)
-            if self.begun and self.held[:1] != b"{":
-                raise ValueError(f"no object begins with {self.held[:40]!r}")
-        return self.begun
-
-    def _end(self) -> int:
-        """Where the object ends that has begun; 0: not yet. Goes on from where the last look ended."""
-        for found in _FRAME.finditer(self.held, self.at):
+        """Yield each object that this piece completes.
+
+        Raises ValueError behind them if an object doesn't start with a brace or exceeds MAX_OBJECT_BYTES.
+        """
+        self.buffer += piece
+        while self._skip_blanks() and (end := self._find_end()) > 0:
+            json_object = self.buffer[:end]
+            self.buffer, self.scanned, self.has_started = self.buffer[end:], 0, False
+            yield json_object
+        if len(self.buffer) > MAX_OBJECT_BYTES:
+            raise ValueError(f"an object of more than {MAX_OBJECT_BYTES} bytes")
+
+    def _skip_blanks(self) -> bool:
+        if not self.has_started:
+            self.buffer = self.buffer.lstrip()
+            self.has_started = bool(self.buffer)
+            if self.has_started and self.buffer[:1] != b"{":
+                raise ValueError(f"no object begins with {self.buffer[:40]!r}")
+        return self.has_started
+
+    def _find_end(self) -> int:
+        """Return the end of the object that has started, or 0 if it is incomplete; resumes the last scan."""
+        for found in _DELIMITERS.finditer(self.buffer, self.scanned):
             sign = found[0]
             if sign == b'"':
-                self.at = found.start()
+                self.scanned = found.start()
                 return 0
-            self.at = found.end()
-            self.depth += (sign == b"{") - (sign == b"}")
-            if not self.depth:
-                return self.at
+            self.scanned = found.end()
+            self.open_braces += (sign == b"{") - (sign == b"}")
+            if not self.open_braces:
+                return self.scanned
         return 0
 
 
-def read_list(values: Any, offset_us: int) -> ServerList:
-    """Discovery's list. Unix time less `offset_us` is the node's clock; 0 stays 0, for long ago."""
+def parse_server_list(values: Any, offset_us: int) -> ServerList:
+    """Parse discovery's list; `offset_us` is the Unix time at which the node's clock was 0.
+
+    Raises ValueError, KeyError, TypeError or AttributeError if `values` is not a list of servers.
+    """
     if isinstance(values, str | bytes):
         values = json.loads(values)
     servers = []
@@ -307,12 +325,12 @@
             server=str(item["instanceId"]),
             zone=str(item.get("zone") or ""),
             cell=int(item.get("cell") or 0),
-            # A word not known here must not end the watch; what is not said to be ready gets nothing new.
-            condition=CONDITIONS.get(item["lifecycle"], Condition.DRAINING),
+            # An unknown state must not end the watch; a server not said to be ready gets nothing new.
+            condition=CONDITION_BY_LIFECYCLE.get(item["lifecycle"], Condition.DRAINING),
             started_at_us=max(1, started * 1000 - offset_us) if started else 0,
-            size=_size(item.get("weight")),
+            size=_parse_size(item.get("weight")),
             kind=str(item.get("machineType") or ""),
         )
-        servers.append(Listed(entry, str(item.get("hostPort") or "")))
+        servers.append(ListEntry(entry, str(item.get("hostPort") or "")))
         started_ms[entry.server] = started
     return ServerList(int(values["generation"]), bool(values["reset"]), servers, started_ms)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The network's words to our types and back; configuration and its messages."""
+"""Encoding and parsing of requests, answers, load reports and lists; the configuration and its errors."""
 
 from __future__ import annotations
 
@@ -18,28 +18,29 @@
 from coraldeal.net import wire
 from tests.standins import SETTINGS
 
-TRACKS = {"checkout": 0, "browse": 0}
+REQUEST_CLASSES = {"checkout": 0, "browse": 0}
 
 
-def call(target: str = "/checkout/7?a=%2F", body: bytes = b"", **fields: str) -> wire.Call:
+def request(target: str = "/checkout/7?a=%2F", body: bytes = b"", **fields: str) -> wire.CallerRequest:
     named = {name.replace("_", "-"): value for name, value in {"Req_Id": "ab", **fields}.items()}
     raw = [(name.encode(), value.encode()) for name, value in named.items()]
-    return wire.read_call("POST", target, named, raw, body, TRACKS)
+    return wire.parse_request("POST", target, named, raw, body, REQUEST_CLASSES)
 
 
-class Calls(unittest.TestCase):
-    def test_fields_that_decisions_need(self) -> None:
-        read = call(Req_Deadline="480m", Req_Retry="1", Req_Owner="t1")
+class Requests(unittest.TestCase):
+    def test_header_fields_are_parsed(self) -> None:
+        read = request(Req_Deadline="480m", Req_Retry="1", Req_Owner="t1")
         self.assertEqual(
-            (read.track, read.left_us, read.repeat, read.tenant), ("checkout", 480_000, True, "t1")
+            (read.request_class, read.time_left_us, read.is_retry, read.tenant),
+            ("checkout", 480_000, True, "t1"),
         )
-        self.assertEqual(call(Req_Deadline="1500u").left_us, 1500)
-        self.assertEqual(call(Req_Deadline="0.5m").left_us, 500)
-        plain = call()
-        self.assertEqual((plain.left_us, plain.repeat, plain.tenant), (None, False, None))
+        self.assertEqual(request(Req_Deadline="1500u").time_left_us, 1500)
+        self.assertEqual(request(Req_Deadline="0.5m").time_left_us, 500)
+        plain = request()
+        self.assertEqual((plain.time_left_us, plain.is_retry, plain.tenant), (None, False, None))
 
-    def test_the_rest_goes_on_as_it_came(self) -> None:
-        read = call(
+    def test_other_fields_and_the_body_are_forwarded_unchanged(self) -> None:
+        read = request(
             body=b"\x00raw",
             Idempotency_Key="K",
             X_Odd="v  w",
@@ -48,12 +49,12 @@
             Req_Deadline="9m",
         )
         self.assertEqual(
-            read.written(1_234_567),
+            read.encode_attempt(1_234_567),
             b"POST /checkout/7?a=%2F HTTP/1.1\r\nReq-Id: ab\r\nIdempotency-Key: K\r\nX-Odd: v  w\r\n"
             b"Req-Deadline: 1234567u\r\nContent-Length: 4\r\n\r\n\x00raw",
         )
 
-    def test_what_is_no_inquiry_is_told_so(self) -> None:
+    def test_invalid_request_is_refused_with_its_status(self) -> None:
         for status, target, fields in (
             (404, "/nothing", {}),
             (404, "checkout", {}),
@@ -62,16 +63,19 @@
             (400, "/checkout", {"Req_Deadline": "-4m"}),
             (400, "/checkout", {"Req_Deadline": "4s"}),
         ):
-            with self.subTest(target=target, fields=fields), self.assertRaises(wire.BadCall) as caught:
-                call(target, b"", **fields)
+            with (
+                self.subTest(target=target, fields=fields),
+                self.assertRaises(wire.InvalidRequestError) as caught,
+            ):
+                request(target, b"", **fields)
             self.assertEqual(caught.exception.status, status)
-        with self.assertRaises(wire.BadCall) as caught:
-            wire.read_call("PUT", "/checkout", {"Req-Id": "a"}, [], b"", TRACKS)
+        with self.assertRaises(wire.InvalidRequestError) as caught:
+            wire.parse_request("PUT", "/checkout", {"Req-Id": "a"}, [], b"", REQUEST_CLASSES)
         self.assertEqual(caught.exception.status, 405)
 
 
 class Answers(unittest.TestCase):
-    def test_outcomes(self) -> None:
+    def test_status_and_fields_determine_the_outcome(self) -> None:
         declined = {"Srv-Declined": "1"}
         for status, fields, outcome in (
             (200, {}, Outcome.SERVED),
@@ -83,32 +87,32 @@
             (429, {}, Outcome.ERROR),
         ):
             with self.subTest(status=status, fields=fields):
-                self.assertIs(wire.read_answer(status, fields, [], b"")[0], outcome)
+                self.assertIs(wire.parse_answer(status, fields, [], b"")[0], outcome)
 
-    def test_body_and_fields_are_kept_but_not_those_of_the_hop(self) -> None:
+    def test_body_and_fields_are_forwarded_without_hop_by_hop_fields(self) -> None:
         raw = [
             (b"Content-Type", b"text/x"),
             (b"Connection", b"close"),
             (b"Srv-Load", b"queue=1"),
             (b"ETag", b"e"),
         ]
-        told = wire.read_answer(200, {}, raw, b"\xff")[1]
-        self.assertEqual(told, wire.Answer(200, b"\xff", (("Content-Type", "text/x"), ("ETag", "e"))))
+        update = wire.parse_answer(200, {}, raw, b"\xff")[1]
+        self.assertEqual(update, wire.Answer(200, b"\xff", (("Content-Type", "text/x"), ("ETag", "e"))))
 
-    def test_reports(self) -> None:
+    def test_load_report_is_parsed_and_invalid_values_are_skipped(self) -> None:
         self.assertEqual(
-            wire.read_report("inflight=7,queue=2, util=0.61"), {"inflight": 7, "queue": 2, "util": 0.61}
+            wire.parse_load_report("inflight=7,queue=2, util=0.61"), {"inflight": 7, "queue": 2, "util": 0.61}
         )
-        self.assertEqual(wire.read_report("inflight=?,queue=2,"), {"queue": 2})
-        self.assertIsNone(wire.read_report(None))
+        self.assertEqual(wire.parse_load_report("inflight=?,queue=2,"), {"queue": 2})
+        self.assertIsNone(wire.parse_load_report(None))
 
-    def test_deferral_tells_when_to_come_back(self) -> None:
-        self.assertEqual(wire.deferral(250_000), wire.Answer(503, b"", (("Retry-After", "0.250"),)))
-        self.assertEqual(wire.deferral(0), wire.Answer(503))
+    def test_rejection_has_retry_after_unless_it_is_zero(self) -> None:
+        self.assertEqual(wire.rejection(250_000), wire.Answer(503, b"", (("Retry-After", "0.250"),)))
+        self.assertEqual(wire.rejection(0), wire.Answer(503))
 
 
 class Lists(unittest.TestCase):
-    def test_list_with_its_clock(self) -> None:
+    def test_server_list_is_parsed_with_start_times_by_the_node_clock(self) -> None:
         item = {
             "instanceId": "s",
             "hostPort": "h:1",
@@ -118,20 +122,24 @@
             "weight": 1,
         }
         values = {"generation": 41, "reset": True, "instances": [{**item, "startedAtMs": 5_000}, item]}
-        told = wire.read_list(json.dumps(values), offset_us=2_000_000)
-        self.assertEqual((told.version, told.whole, told.servers[0].address), (41, True, "h:1"))
-        first, second = (listed.entry for listed in told.servers)
+        update = wire.parse_server_list(json.dumps(values), offset_us=2_000_000)
+        self.assertEqual((update.version, update.is_snapshot, update.servers[0].address), (41, True, "h:1"))
+        first, second = (listed.entry for listed in update.servers)
         self.assertEqual((first.server, first.zone, first.cell), ("s", "a", 3))
         self.assertIs(first.condition, Condition.DRAINING)
         self.assertEqual((first.started_at_us, second.started_at_us), (3_000_000, 0))
-        # A word that is not known is no leave to send.
-        told = wire.read_list({**values, "instances": [{**item, "lifecycle": "Resting"}]}, offset_us=0)
-        self.assertIs(told.servers[0].entry.condition, Condition.DRAINING)
-        self.assertEqual(wire.read_list(values, offset_us=0).servers[0].entry.kind, "")
+        # A server in an unknown lifecycle state gets nothing new.
+        update = wire.parse_server_list(
+            {**values, "instances": [{**item, "lifecycle": "Resting"}]}, offset_us=0
+        )
+        self.assertIs(update.servers[0].entry.condition, Condition.DRAINING)
+        self.assertEqual(wire.parse_server_list(values, offset_us=0).servers[0].entry.kind, "")
         shaped = {**values, "instances": [{**item, "machineType": "m2"}]}
-        self.assertEqual(wire.read_list(shaped, offset_us=0).servers[0].entry.kind, "m2")
-        # Younger than the clock's beginning is not long ago.
-        self.assertEqual(wire.read_list(values, offset_us=9_000_000).servers[0].entry.started_at_us, 1)
+        self.assertEqual(wire.parse_server_list(shaped, offset_us=0).servers[0].entry.kind, "m2")
+        # A start before the clock's zero is not 0, which means long ago.
+        self.assertEqual(
+            wire.parse_server_list(values, offset_us=9_000_000).servers[0].entry.started_at_us, 1
+        )
 
 
 class Configuration(unittest.TestCase):
@@ -139,13 +147,13 @@
         values = {"listen": "127.0.0.1:80", "settings": SETTINGS, **changes}
         return node_config({key: value for key, value in values.items() if value != "left out"}, env or {})
 
-    def test_defaults(self) -> None:
+    def test_missing_keys_have_their_defaults(self) -> None:
         read = self.read()
         self.assertEqual((read.name, read.host, read.port, read.discovery), ("node", "127.0.0.1", 80, None))
         self.assertEqual((read.conn_idle_us, read.connect_timeout_us), (2_000_000, 200_000))
         self.assertGreater(read.sockets, 0)
 
-    def test_environment_overrules(self) -> None:
+    def test_environment_variables_override_keys(self) -> None:
         env = {"PROXY_NAME": "n3", "PROXY_LISTEN": "127.0.0.9:81", "PROXY_DISCOVERY": "127.0.0.1:85"}
         read = self.read(env, name="n1", seed="ff", limits={"sockets": 64})
         self.assertEqual(
@@ -153,14 +161,14 @@
         )
         self.assertEqual((read.seed, read.sockets), (255, 64))
 
-    def test_bound_tracks(self) -> None:
+    def test_request_classes_have_their_permitted_zones_and_kinds(self) -> None:
         plain = SETTINGS["tracks"][0]
         bound = {**plain, "name": "bound", "shapes_open": ["m2", "m1"], "allowed_in": ["a"]}
-        tracks = self.read(settings={**SETTINGS, "tracks": [plain, bound]}).settings.request_classes
-        self.assertEqual((tracks[0].zones, tracks[0].kinds), ((), ()))
-        self.assertEqual((tracks[1].zones, tracks[1].kinds), (("a",), ("m1", "m2")))
+        request_classes = self.read(settings={**SETTINGS, "tracks": [plain, bound]}).settings.request_classes
+        self.assertEqual((request_classes[0].zones, request_classes[0].kinds), ((), ()))
+        self.assertEqual((request_classes[1].zones, request_classes[1].kinds), (("a",), ("m1", "m2")))
 
-    def test_messages_name_the_faulty_key(self) -> None:
+    def test_error_message_names_the_invalid_key(self) -> None:
         bounds = {**SETTINGS["bounds"], "cancel": "yes"}
         tracks = [{**SETTINGS["tracks"][0], "effect": "odd"}]
         kinds = [{**SETTINGS["tracks"][0], "shapes_open": ["m1", 2]}]
@@ -192,10 +200,10 @@
             status = main(list(args))
         return status, out.getvalue()
 
-    def test_version(self) -> None:
+    def test_version_is_printed(self) -> None:
         self.assertRegex(self.run_main("version")[1], r"^coraldeal \d+\.\d+")
 
-    def test_a_known_list_that_is_none(self) -> None:
+    def test_invalid_known_list_is_reported_with_its_key(self) -> None:
         with tempfile.NamedTemporaryFile("w", suffix=".json") as file:
             json.dump({"listen": "127.0.0.1:80", "known": {"generation": 1}, "settings": SETTINGS}, file)
             file.flush()
@@ -203,14 +211,14 @@
         self.assertEqual(status, 2)
         self.assertIn("setting known ", text)
 
-    def test_a_file_that_is_not_there(self) -> None:
+    def test_missing_file_is_reported_with_its_path(self) -> None:
         status, text = self.run_main("check", "--config", "/nowhere/config.json")
         self.assertEqual(status, 2)
         self.assertIn("/nowhere/config.json", text)
 
 
 class Logs(unittest.TestCase):
-    def test_pairs(self) -> None:
+    def test_pairs_are_formatted_as_key_and_value(self) -> None:
         record = logging.LogRecord("a.b", logging.INFO, "", 0, "watch over", None, None)
         record.pairs = {"why": 'it "ended"', "version": 4}
         line = KeyValueFormatter().format(record)
@@ -220,11 +228,11 @@
 
 
 class Example(unittest.TestCase):
-    def test_its_configuration_is_understood(self) -> None:
+    def test_configuration_is_parsed(self) -> None:
         read = read_node_config(os.path.join(os.path.dirname(__file__), "..", "example", "config.json"), {})
-        self.assertEqual([track.name for track in read.settings.request_classes], ["checkout", "browse"])
-        # What is not said to be repeatable is not repeated.
-        effects = [track.effect for track in read.settings.request_classes]
+        self.assertEqual([spec.name for spec in read.settings.request_classes], ["checkout", "browse"])
+        # A class that is not declared repeatable is not idempotent.
+        effects = [spec.effect for spec in read.settings.request_classes]
         self.assertEqual(effects, [Effect.NOT_IDEMPOTENT, Effect.IDEMPOTENT])
-        known = wire.read_list(read.known, offset_us=0).servers
+        known = wire.parse_server_list(read.known, offset_us=0).servers
         self.assertEqual([listed.address for listed in known], ["127.0.0.1:9001", "127.0.0.1:9002"])
