--- a/coraldeal/net/list_call.py
+++ b/coraldeal/net/list_call.py
@@ -1,4 +1,4 @@
-"""One call at discovery, from its connection to its end: an answer that becomes a watch, or a failure."""
+"""One call to discovery, from its connection to its end: an answer that becomes a watch, or a failure."""
 
 from __future__ import annotations
 
@@ -12,40 +12,44 @@
 from yarl import URL
 
 from coraldeal.net.unread import has_unread
-from coraldeal.net.wire import Objects, ServerList
+from coraldeal.net.wire import JsonObjectStream, ServerList
 
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
 
-# A piece of an object, in bytes, that is a sign of life by its length: a long list may take its time.
-LONG_PIECE = 16 * 1024
-# After how many seconds a silence is looked at again at whose end something lay unread.
-UNREAD_AGAIN = 0.1
+# Bytes from which on a piece of an incomplete object counts as a sign of life: a long list may take its time.
+LIVENESS_PIECE_BYTES = 16 * 1024
+# Seconds until the liveness timeout is checked again if unread bytes lay in the socket when it expired.
+UNREAD_RECHECK = 0.1
 
 
 @dataclass(frozen=True, slots=True)
-class CallTimes:
-    """Bounds of a call, in seconds: its connection, first object, between objects, the answer's head."""
+class CallTimeouts:
+    """Time limits of a call, in seconds."""
 
+    # For the connection.
     connect: float
+    # From the start to the first object.
     first_object: float
-    silence: float
+    # Without a sign of life from a watch.
+    liveness: float
+    # From the start to the head of the answer.
     answer: float
 
 
 @dataclass(frozen=True, slots=True)
 class CallEnd:
-    """How a call or watch ended that the node did not end itself."""
+    """How a call or watch ended, other than by the node's cancelling it."""
 
-    why: str
-    fell_silent: bool
+    reason: str
+    liveness_expired: bool
     # Whether discovery answered with an error status.
     refused: bool
 
 
-def _reason(error: Exception) -> str:
-    """An error in the few words that a log line has room for; the address stands beside it there."""
+def _describe_error(error: Exception) -> str:
+    """Return a short description of an error for a log line, which names the address beside it."""
     match error:
         case aiohttp.ClientResponseError():
             return f"status {error.status}"
@@ -56,138 +60,145 @@
 
 
 class CallHost(Protocol):
-    """Who made the call."""
+    """The owner of a call, which is notified of what the call receives."""
 
     @property
-    def read(self) -> Callable[[bytes], ServerList]:
-        """The list in an object; ValueError, KeyError, TypeError or AttributeError where it is none."""
+    def parse(self) -> Callable[[bytes], ServerList]:
+        """Parses a list; raises ValueError, KeyError, TypeError or AttributeError if the bytes are none."""
 
-    def told(self, call: ListCall, told: ServerList, is_back: bool) -> None:
-        """A list, or changes of it; `is_back`: of an older version than was told before."""
+    def list_received(self, call: ListCall, update: ServerList, is_older: bool) -> None:
+        """Handle a snapshot or delta; `is_older`: its version is older than the previous one's."""
 
-    def alive(self, call: ListCall) -> None:
-        """It has an answer, though perhaps no list yet."""
+    def answer_received(self, call: ListCall) -> None:
+        """Handle a sign that the call has been answered, though perhaps without a list yet."""
 
-    def unreadable(self, call: ListCall) -> None:
-        """Something came that can't be read."""
+    def invalid_received(self, call: ListCall) -> None:
+        """Handle data that can't be parsed."""
 
-    def ended(self, call: ListCall, end: CallEnd) -> None:
-        """It is over."""
+    def call_ended(self, call: ListCall, end: CallEnd) -> None:
+        """Handle the end of the call."""
 
 
-class _Silence:
-    """Ends a call that has brought nothing for its time."""
+class _LivenessTimer:
+    """Ends a call that has received nothing for too long."""
 
     def __init__(self, seconds: float) -> None:
         self.loop = asyncio.get_running_loop()
         self.timeout = asyncio.timeout(None)
-        self.timer = self.loop.call_later(seconds, self._over)
-        # Where bytes may lie unread, once there is an answer.
+        self.timer = self.loop.call_later(seconds, self._on_timeout)
+        # Where unread bytes may lie; None until the head of the answer has been received.
         self.transport: asyncio.BaseTransport | None = None
 
-    def put_off(self, seconds: float) -> None:
+    def extend(self, seconds: float) -> None:
+        """Restart the timeout."""
         self.timer.cancel()
         self.timeout.reschedule(None)
-        self.timer = self.loop.call_later(seconds, self._over)
+        self.timer = self.loop.call_later(seconds, self._on_timeout)
 
-    def _over(self) -> None:
-        """What has come and was not read is no silence; in a loop that was late it is read a turn later."""
+    def _on_timeout(self) -> None:
+        """End the call, unless unread bytes lie in the socket: a loop that runs late reads them next."""
         if self.transport is not None and has_unread(self.transport):
-            self.put_off(UNREAD_AGAIN)
+            self.extend(UNREAD_RECHECK)
         else:
             self.timeout.reschedule(self.loop.time())
 
 
 class ListCall:
-    """One GET of the list, kept open as a watch."""
+    """One GET request for the server list, kept open as a watch."""
 
     def __init__(
-        self, number: int, address: str, url: URL, version: int, times: CallTimes, host: CallHost
+        self, number: int, address: str, url: URL, version: int, timeouts: CallTimeouts, host: CallHost
     ) -> None:
         self.number = number
         self.address = address
         self.url = url
-        # The version asked for, and the last one told.
-        self.asked_version = self.version = version
-        self.times = times
+        # The version in the request, and the version last received.
+        self.requested_version = self.version = version
+        self.timeouts = timeouts
         self.host = host
         self.loop = asyncio.get_running_loop()
-        self.began_at = self.loop.time()
+        self.started_at = self.loop.time()
         self.has_answer = False
-        self.has_told = False
-        self.was_unreadable = False
+        self.has_list = False
+        self.is_invalid = False
         self.task: asyncio.Task[None]
 
     def start(self) -> None:
+        """Start the call's task."""
         self.task = self.loop.create_task(self._run())
 
     def cancel(self) -> None:
-        """End it; its host is told nothing."""
+        """Cancel the call; its host isn't notified."""
         self.task.cancel()
 
     async def _run(self) -> None:
-        silence = _Silence(self.times.answer)
+        liveness = _LivenessTimer(self.timeouts.answer)
         refused = False
         try:
-            why = await self._follow(silence)
+            reason = await self._follow(liveness)
         except (OSError, TimeoutError, aiohttp.ClientError) as error:
-            why = "it fell silent" if silence.timeout.expired() else _reason(error)
+            reason = "it fell silent" if liveness.timeout.expired() else _describe_error(error)
             refused = isinstance(error, aiohttp.ClientResponseError)
         except Exception:
-            # A bug on the way to the module must not end the following for good.
+            # A bug in handling a list must not stop the node from following the list for good.
             log.exception("watch failed")
-            why = "a bug"
+            reason = "internal error"
         finally:
-            silence.timer.cancel()
-        self.host.ended(self, CallEnd(why, silence.timeout.expired(), refused))
+            liveness.timer.cancel()
+        self.host.call_ended(self, CallEnd(reason, liveness.timeout.expired(), refused))
 
-    async def _follow(self, silence: _Silence) -> str:
-        timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.times.connect)
+    async def _follow(self, liveness: _LivenessTimer) -> str:
+        timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.timeouts.connect)
         connector = aiohttp.TCPConnector(force_close=True, happy_eyeballs_delay=None)
         async with (
-            silence.timeout,
+            liveness.timeout,
             aiohttp.ClientSession(connector=connector, timeout=timeout) as session,
-            session.get(self.url, allow_redirects=False) as answer,
+            session.get(self.url, allow_redirects=False) as response,
         ):
-            answer.raise_for_status()
+            response.raise_for_status()
             self.has_answer = True
-            if answer.connection is not None:
-                silence.transport = answer.connection.transport
-            due = self.began_at + self.times.first_object
-            silence.put_off(max(self.times.silence, due - self.loop.time()))
-            objects = Objects()
-            async for piece in answer.content.iter_any():
-                # Only what is whole or long is a sign of life: an object that dribbles, or stops half-way
-                # behind blanks of its own, must not keep a dead watch.
-                if self._tell(objects, piece) or not objects.begun or len(piece) >= LONG_PIECE:
-                    self.host.alive(self)
-                    silence.put_off(self.times.silence)
+            if response.connection is not None:
+                liveness.transport = response.connection.transport
+            first_object_at = self.started_at + self.timeouts.first_object
+            liveness.extend(max(self.timeouts.liveness, first_object_at - self.loop.time()))
+            objects = JsonObjectStream()
+            async for piece in response.content.iter_any():
+                # Only complete objects, long pieces and white space between objects are signs of life. An
+                # object that arrives in small pieces, or is followed by white space before its end, must not
+                # keep a dead watch open.
+                if (
+                    self._deliver_objects(objects, piece)
+                    or not objects.has_started
+                    or len(piece) >= LIVENESS_PIECE_BYTES
+                ):
+                    self.host.answer_received(self)
+                    liveness.extend(self.timeouts.liveness)
         return "it ended"
 
-    def _tell(self, objects: Objects, piece: bytes) -> int:
-        """How many objects are whole with this piece, each told before the next one is looked at.
+    def _deliver_objects(self, objects: JsonObjectStream, piece: bytes) -> int:
+        """Handle each object that this piece completes before the next one is parsed; return their number.
 
-        What can't be read takes nothing back of what stands before it: that counts as told.
+        Invalid data doesn't undo the objects before it, since discovery counts those as received.
         """
-        whole = objects.feed(piece)
+        completed_objects = objects.feed(piece)
         count = 0
-        while text := self._readable(lambda _: next(whole, b""), piece):
+        while text := self._parse(lambda _: next(completed_objects, b""), piece):
             count += 1
-            told = self._readable(self.host.read, text)
-            is_back = not told.whole and told.version < self.version
-            self.version = told.version
-            self.host.told(self, told, is_back)
-            if is_back:
-                # Discovery was set back: these are not the changes since the list held, and the rest of them
-                # would never come.
-                raise aiohttp.ClientPayloadError(f"its versions went back to {told.version}")
+            update = self._parse(self.host.parse, text)
+            is_older = not update.is_snapshot and update.version < self.version
+            self.version = update.version
+            self.host.list_received(self, update, is_older)
+            if is_older:
+                # Discovery was set back: the changes don't follow on the list that the node has, and the
+                # missing ones would never arrive.
+                raise aiohttp.ClientPayloadError(f"its versions went back to {update.version}")
         return count
 
-    def _readable(self, read: Callable[[bytes], T], text: bytes) -> T:
+    def _parse(self, parse: Callable[[bytes], T], text: bytes) -> T:
         try:
-            return read(text)
+            return parse(text)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            self.was_unreadable = True
-            self.host.unreadable(self)
-            why = f"unreadable, {type(error).__name__}: {error}, in {text[:60]!r}"
-            raise aiohttp.ClientPayloadError(why) from None
+            self.is_invalid = True
+            self.host.invalid_received(self)
+            reason = f"unreadable, {type(error).__name__}: {error}, in {text[:60]!r}"
+            raise aiohttp.ClientPayloadError(reason) from None
