--- a/coraldeal/net/node.py
+++ b/coraldeal/net/node.py
@@ -22,8 +22,8 @@
 from coraldeal.net.figures import Figures
 from coraldeal.net.host import LoopHost, clock
 from coraldeal.net.inquiry import Inquiries
-from coraldeal.net.servers import Servers
-from coraldeal.net.wire import ServerList, read_list
+from coraldeal.net.servers import ServerPool
+from coraldeal.net.wire import ServerList, parse_server_list
 from coraldeal.starts import Starts
 
 if TYPE_CHECKING:
@@ -34,44 +34,49 @@
 
 log = logging.getLogger(__name__)
 
-# Descriptors kept for discovery, probes, logs and a rush of callers: so many, or a quarter of a small limit.
-RESERVE = 96
-# For how long after SIGTERM new connections may still come.
-STILL_ACCEPTING = 0.55
-# The platform kills a node that was told to end after the longest patience, of which it grants so much, and
-# 0.7 s more. What is left is answered before that with time in hand: a node with part of a core is late.
-END_PATIENCE = 3.0
-END_SLACK = 0.55
-# How often the loop's lateness is looked at, and from when on it is told.
-LAG_EVERY, LAG_TOLD = 0.5, 0.1
-# Waits before the watch is begun again where the list comes by itself. What its agent has counts as told
-# whether or not a watch is open, from the moment it is back: no wait may use up the grace of a drain.
-REWATCH_LEAST, REWATCH_MOST = 0.1, 0.4
-
-# How many servers a log line names at the most.
-SERVERS_NAMED = 8
-
-# What a configuration read anew can't change while the node runs.
+# Descriptors reserved for discovery, probes, logs and a burst of callers. A small limit reserves a quarter.
+DESCRIPTOR_RESERVE = 96
+# Seconds after SIGTERM for which new connections are accepted.
+ACCEPT_AFTER_SIGTERM = 0.55
+# After SIGTERM, the platform kills a node 0.7 s after the longest deadline, of which it counts at most
+# MAX_DRAIN_DEADLINE seconds. Open inquiries are answered by DRAIN_SLACK seconds after that deadline, since a
+# node with only a fraction of a core runs late.
+MAX_DRAIN_DEADLINE = 3.0
+DRAIN_SLACK = 0.55
+# The interval in seconds of checks of the event loop's lag, and the lag from which on it is logged.
+LAG_CHECK_INTERVAL, LAG_THRESHOLD = 0.5, 0.1
+# Seconds until a pushed list is watched again. A change counts as received as soon as the node's agent has it
+# and is reachable, with or without a watch, so this delay must not use up the grace period of a drain.
+MIN_REWATCH_DELAY, MAX_REWATCH_DELAY = 0.1, 0.4
+
+# The number of servers that a log line names.
+MAX_SERVERS_NAMED = 8
+
+# Settings that a reload can't change: they take effect with the next start.
 RESTART_KEYS = ("name", "host", "port", "operator", "peers")
 
 
-def _irreversible(settings: Settings) -> dict[str, None]:
-    return {track.name: None for track in settings.request_classes if track.effect is Effect.NOT_IDEMPOTENT}
+def _not_idempotent(settings: Settings) -> dict[str, None]:
+    return {
+        request_class.name: None
+        for request_class in settings.request_classes
+        if request_class.effect is Effect.NOT_IDEMPOTENT
+    }
 
 
-def _read_list(values: Any) -> ServerList:
-    """Starts are by the wall clock as it is now: `Starts` says which of them count."""
-    return read_list(values, time.time_ns() // 1000 - clock())
+def _parse_list(values: Any) -> ServerList:
+    """Parse a list, with start times by the current wall clock; `Starts` decides which of them count."""
+    return parse_server_list(values, time.time_ns() // 1000 - clock())
 
 
-def _some(servers: Sequence[ServerId]) -> str:
-    """The first few by name, the others by their number."""
-    more = len(servers) - SERVERS_NAMED
-    return ",".join(servers[:SERVERS_NAMED]) + (f",+{more}" if more > 0 else "")
+def _abbreviate(servers: Sequence[ServerId]) -> str:
+    """Return the first few names, and the number of the others."""
+    more = len(servers) - MAX_SERVERS_NAMED
+    return ",".join(servers[:MAX_SERVERS_NAMED]) + (f",+{more}" if more > 0 else "")
 
 
 class Phase(enum.Enum):
-    """Where a node is in its life."""
+    """The phases of a node's lifecycle, in order."""
 
     STARTING = "starting"
     READY = "ready"
@@ -80,109 +85,116 @@
 
 
 class Node:
-    """Puts the parts together and leads them from start to end."""
+    """Connects the modules of one node and controls its phases from start to end."""
 
     def __init__(
         self,
         config: NodeConfig,
-        read_anew: Callable[[], NodeConfig] | None = None,
-        own: OperatorFile | None = None,
+        load_config: Callable[[], NodeConfig] | None = None,
+        operator_file: OperatorFile | None = None,
     ) -> None:
         self.config = config
-        self.read_anew = read_anew
+        self.load_config = load_config
         self.phase = Phase.STARTING
-        self.ending = asyncio.Event()
-        self.part = 1.0
-        self._share_out(config.sockets)
+        self.stop_requested = asyncio.Event()
+        # The fraction of the node's limits that this process may use.
+        self.share = 1.0
+        self._set_descriptor_limit(config.sockets)
         settings = config.settings
-        self.figures = Figures(track.name for track in settings.request_classes)
-        self.servers = Servers(
+        self.figures = Figures(request_class.name for request_class in settings.request_classes)
+        self.servers = ServerPool(
             clock,
             config.conn_idle_us,
             config.connect_timeout_us,
             self._make_room,
             self._may_send,
             self.figures,
-            *self._connections(own),
+            *self._connection_settings(operator_file),
         )
         self.inquiries = Inquiries(self.servers)
-        self.inquiries.irreversible = _irreversible(settings)
-        patience = {track.name: track.deadline_us for track in settings.request_classes}
+        self.inquiries.irreversible = _not_idempotent(settings)
+        deadlines = {
+            request_class.name: request_class.deadline_us for request_class in settings.request_classes
+        }
         live = self.inquiries.live
         self.callers = Callers(
-            patience, live, self._is_ready, self._is_crowded, self._make_room, self.figures
+            deadlines, live, self._is_ready, self._is_crowded, self._make_room, self.figures
         )
-        # A connection taken has its descriptor four turns before the one that makes room for it is closed: a
-        # rush uses up a sixth of the reserve.
+        # An accepted connection holds its descriptor for four loop iterations before the idle one that makes
+        # room for it is closed: with this limit, a burst uses up a sixth of the reserve.
         self.callers.at_once = max(1, min(ACCEPT_AT_ONCE, self.reserve // 24))
         self.starts = Starts()
         self.discovery = Discovery(
             config.discovery,
-            _read_list,
-            self.take_list,
+            _parse_list,
+            self.apply_list,
             self._list_failed,
-            *self._lists(own),
+            *self._list_sources(operator_file),
             str(config.seed),
             has_agent=not settings.list_is_pulled,
         )
         self.host = LoopHost(self.inquiries, self.discovery)
         self.balancer = Balancer(self.host, settings, config.seed)
         self.host.balancer = self.inquiries.balancer = self.balancer
-        self.rewatch_wait = REWATCH_LEAST
-        self.draws = 0
-        self.rewatch: asyncio.TimerHandle | None = None
-        # Whether a list was ever told, as of old, by the process before or by discovery.
+        self.rewatch_delay = MIN_REWATCH_DELAY
+        self.random_draws = 0
+        self.rewatch_timer: asyncio.TimerHandle | None = None
+        # Whether any list was received: from the configuration, the predecessor process or discovery.
         self.has_list = False
-        self.door: Door | None = None
+        self.admin_listener: Door | None = None
         self.succession: Succession | None = None
 
-    def _connections(self, own: OperatorFile | None) -> tuple[ConnectionAges | None, float]:
-        """What the operator's own file asks of connections to servers."""
-        if own is None or not own.connections.learn:
-            return None, own.connections.oldest_seconds if own is not None else 0.0
+    def _connection_settings(self, operator_file: OperatorFile | None) -> tuple[ConnectionAges | None, float]:
+        """Return what the operator's file sets for connections: the ages to learn, and the maximum age."""
+        if operator_file is None or not operator_file.connections.learn:
+            return None, operator_file.connections.oldest_seconds if operator_file is not None else 0.0
         from coraldeal.connections.ages import ConnectionAges
 
-        return ConnectionAges(self.config.conn_idle_us, own.connections.risk), own.connections.oldest_seconds
+        return ConnectionAges(
+            self.config.conn_idle_us, operator_file.connections.risk
+        ), operator_file.connections.oldest_seconds
 
-    def _lists(self, own: OperatorFile | None) -> tuple[Sequence[str], Sequence[str]]:
-        """The services asked for and the sources, where the operator's own file names them."""
-        return ((), ()) if own is None else (own.lists.services, own.lists.sources)
+    def _list_sources(self, operator_file: OperatorFile | None) -> tuple[Sequence[str], Sequence[str]]:
+        """Return the services to request and the sources, as the operator's file names them."""
+        return (
+            ((), ()) if operator_file is None else (operator_file.lists.services, operator_file.lists.sources)
+        )
 
     async def run(self) -> None:
-        """The node's whole life."""
+        """Run the node until SIGTERM or SIGINT has been handled."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.ending.set)
-        # Guards against the end that SIGHUP is by default.
+            loop.add_signal_handler(number, self.stop_requested.set)
+        # Without a handler, SIGHUP would end the process.
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        # What came in the first moments was kept waiting (`serve`) and comes now.
+        # `serve` blocks these signals until their handlers are installed; pending ones arrive now.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGTERM, signal.SIGHUP))
         if self.config.known is not None:
-            known = _read_list(self.config.known)
+            known = _parse_list(self.config.known)
             self.discovery.version = known.version
-            self.take_list(known, ListKind.REMEMBERED)
+            self.apply_list(known, ListKind.REMEMBERED)
         if not self.config.settings.list_is_pulled:
             self.discovery.follow()
         if self.config.peers is not None:
-            from coraldeal.net.carrier import Carrier
+            from coraldeal.net.peer_transport import PeerTransport
 
-            carrier = Carrier(
+            peer_transport = PeerTransport(
                 self.config.peers, self.config.settings.peer_index, self.balancer.peer_message_received
             )
-            await carrier.open()
-            self.host.carrier = carrier
+            await peer_transport.open()
+            self.host.carrier = peer_transport
         await self._listen()
-        self._watch_lag(loop.time())
-        # What was made so far stays: it need not be looked through again at each collection.
+        self._check_lag(loop.time())
+        # The objects created so far live as long as the process: exclude them from garbage collections.
         gc.freeze()
         self._enter(Phase.READY)
         if self.succession is not None:
             self.succession.link.serve()
-        await self.ending.wait()
+        await self.stop_requested.wait()
         await self._drain()
 
     async def _listen(self) -> None:
-        """Open for callers and, where the configuration names a door, for operators and a later process."""
+        """Listen for callers and, if the configuration names an address, for operators and a successor."""
         operator = self.config.operator
         if operator is None:
             await self.callers.listen(self.config.host, self.config.port)
@@ -196,75 +208,80 @@
             await self.succession.begin()
         else:
             await self.callers.listen(self.config.host, self.config.port)
-        self.door = await open_door(self, operator)
+        self.admin_listener = await open_door(self, operator)
 
     def reload(self) -> None:
-        """SIGHUP: go by the configuration as it stands now; one that cannot be used changes nothing."""
-        if self.read_anew is None or self.phase is Phase.ENDED:
+        """Handle SIGHUP: apply the current configuration; one that is invalid changes nothing."""
+        if self.load_config is None or self.phase is Phase.ENDED:
             return
         old = self.config
         try:
-            new = self.read_anew()
-            if lacks := lacking(new.given, old.given):
-                raise SettingsError(f"setting {lacks} is missing, and the one before had it")
+            new = self.load_config()
+            if missing_key := lacking(new.given, old.given):
+                raise SettingsError(f"setting {missing_key} is missing, but the current configuration has it")
         except Exception as error:
-            # Whatever is wrong with a file, the node goes on by the one that it has.
+            # Whatever is wrong with the file, the node continues with the configuration that it has.
             self.figures.kept += 1
             log.error("configuration kept", extra={"pairs": {"why": error}})
             return
         self.figures.loads += 1
-        # Who exchanges notes is as at the start, whatever else changes.
-        known = old.settings
-        settings = replace(new.settings, peers=known.peers, peer_index=known.peer_index)
+        # The nodes that exchange peer messages can change only with a restart.
+        current_settings = old.settings
+        settings = replace(new.settings, peers=current_settings.peers, peer_index=current_settings.peer_index)
         new = replace(new, settings=settings)
         self.config = replace(new, **{key: getattr(old, key) for key in RESTART_KEYS})
-        self._share_out(new.sockets)
+        self._set_descriptor_limit(new.sockets)
         if new.settings != old.settings:
-            # Inquiries in hand keep the rules that they came with.
+            # Open inquiries keep the settings that they arrived under.
             self.balancer.settings_changed(new.settings)
-            self.callers.tracks = {track.name: track.deadline_us for track in new.settings.request_classes}
+            self.callers.tracks = {
+                request_class.name: request_class.deadline_us
+                for request_class in new.settings.request_classes
+            }
             self.figures.know(self.callers.tracks)
-            self.inquiries.irreversible = _irreversible(new.settings)
-        self.servers.go_by(new.conn_idle_us, new.connect_timeout_us)
+            self.inquiries.irreversible = _not_idempotent(new.settings)
+        self.servers.apply_settings(new.conn_idle_us, new.connect_timeout_us)
         if new.discovery != old.discovery and not self.discovery.sources:
-            self.discovery.move(new.discovery)
+            self.discovery.change_address(new.discovery)
         if not new.settings.list_is_pulled:
             self.discovery.follow()
-        # All else shapes what was made at the start.
-        waiting = [key for key in RESTART_KEYS if getattr(new, key) != getattr(old, key)]
-        pairs = {"discovery": new.discovery, "sockets": new.sockets, "needs_restart": ",".join(waiting)}
+        # All other settings shaped objects created at the start.
+        needs_restart = [key for key in RESTART_KEYS if getattr(new, key) != getattr(old, key)]
+        pairs = {"discovery": new.discovery, "sockets": new.sockets, "needs_restart": ",".join(needs_restart)}
         log.info("configuration read anew", extra={"pairs": pairs})
 
     async def _drain(self) -> None:
-        """Serve on where callers are connected, then answer all in hand and close.
+        """Serve connected callers for a while, then answer all open inquiries and close.
 
-        Callers use the connections they have for as long as these stay open: those of a node that closes them
-        at once must all go to its neighbours, or find nobody while these restart too.
+        Callers use their connections for as long as these stay open. If a node closed them at once, all its
+        callers would move to its neighbours, or find no node while these restart too.
         """
         self._enter(Phase.DRAINING)
         if self.host.carrier is not None:
-            # A process that takes over binds the same address.
+            # A successor process binds the same address.
             self.host.carrier.close()
         if self.succession is not None:
             self.succession.link.terms.told_to_end()
-        tracks = self.config.settings.request_classes
-        longest = max((track.deadline_us for track in tracks), default=0)
-        expected = max((track.latency_target_us for track in tracks), default=0)
-        # No later than this the platform may kill.
-        end = clock() + min(longest, int(END_PATIENCE * 1e6)) + int(END_SLACK * 1e6)
-        self.inquiries.end_by(end)
+        request_classes = self.config.settings.request_classes
+        longest_deadline = max((request_class.deadline_us for request_class in request_classes), default=0)
+        longest_latency_target = max(
+            (request_class.latency_target_us for request_class in request_classes), default=0
+        )
+        # The platform may kill the process soon after this time.
+        end_us = clock() + min(longest_deadline, int(MAX_DRAIN_DEADLINE * 1e6)) + int(DRAIN_SLACK * 1e6)
+        self.inquiries.end_by(end_us)
         if self.succession is not None and self.succession.link.terms.yielded:
-            # A newcomer takes all who connect: each answer sends its caller there.
+            # A successor accepts new connections: closing each one behind its answer moves the caller there.
             self.callers.closing = True
         else:
-            await asyncio.sleep(STILL_ACCEPTING)
+            await asyncio.sleep(ACCEPT_AFTER_SIGTERM)
             await self.callers.stop_listening()
-        await self._while_held(end - expected)
+        await self._wait_for_disconnects(end_us - longest_latency_target)
         self.callers.begin_closing()
-        await self._while_held(end)
+        await self._wait_for_disconnects(end_us)
         await self.callers.close()
-        if self.door is not None:
-            self.door.close()
+        if self.admin_listener is not None:
+            self.admin_listener.close()
         if self.succession is not None:
             await self.succession.link.close()
             await self.callers.stop_listening()
@@ -272,8 +289,8 @@
         await self.servers.close()
         self._enter(Phase.ENDED)
 
-    async def _while_held(self, until: int) -> None:
-        """Wait for this time, or until no caller is connected."""
+    async def _wait_for_disconnects(self, until: int) -> None:
+        """Wait until no caller is connected, but no longer than this time of the node's clock."""
         while self.callers.held and clock() < until:
             await asyncio.sleep(0.01)
 
@@ -283,69 +300,75 @@
         log.info("phase", extra={"pairs": pairs})
 
     def can_serve(self) -> bool:
-        """Whether this process answers inquiries now: it takes them, and has been told of servers."""
+        """Return whether this process can answer inquiries now: it is ready, and has received a list."""
         return self.phase is Phase.READY and (self.has_list or self.discovery.address is None)
 
     def _is_ready(self) -> bool:
         return self.phase is Phase.READY
 
-    def _watch_lag(self, due: float) -> None:
-        """Tell of a loop that runs late, before decisions are blamed for it."""
+    def _check_lag(self, scheduled_at: float) -> None:
+        """Log an event loop that runs late, so that its delays aren't attributed to the decisions."""
         loop = asyncio.get_running_loop()
-        late = loop.time() - due
-        if late > LAG_TOLD:
-            log.warning("loop ran late", extra={"pairs": {"late_ms": int(late * 1000)}})
-        due = loop.time() + LAG_EVERY
-        loop.call_at(due, self._watch_lag, due)
+        lateness = loop.time() - scheduled_at
+        if lateness > LAG_THRESHOLD:
+            log.warning("loop ran late", extra={"pairs": {"late_ms": int(lateness * 1000)}})
+        scheduled_at = loop.time() + LAG_CHECK_INTERVAL
+        loop.call_at(scheduled_at, self._check_lag, scheduled_at)
 
     def _may_send(self, server: ServerId) -> bool:
         return self.balancer.may_send(server)
 
     # Descriptors.
 
-    def take_part(self, part: float) -> None:
-        """While two processes are this node, each keeps to its part of what the node may do."""
-        self.part = part
-        self._share_out(self.config.sockets)
-        self.balancer.set_share(part)
+    def set_share(self, share: float) -> None:
+        """Limit this process to a share of the node's limits, while two processes serve as this node."""
+        self.share = share
+        self._set_descriptor_limit(self.config.sockets)
+        self.balancer.set_share(share)
 
-    def _share_out(self, sockets: int) -> None:
-        sockets = int(sockets * self.part)
-        self.reserve: int = min(RESERVE, sockets // 4)
+    def _set_descriptor_limit(self, sockets: int) -> None:
+        sockets = int(sockets * self.share)
+        self.reserve: int = min(DESCRIPTOR_RESERVE, sockets // 4)
         self.limit = sockets - self.reserve
 
     def _is_crowded(self) -> bool:
-        """Whether one more inquiry could want more descriptors than there are: each holds two at the most."""
+        """Return whether another inquiry could exceed the descriptor limit; each holds two at most."""
         return 2 * (len(self.inquiries.in_hand) + self.callers.passing) >= self.limit
 
     def _make_room(self) -> None:
-        """Before a connection is opened and after one was taken: idle ones go first."""
-        over = self.callers.held + self.servers.held - self.limit
-        while over > 0 and (
-            self.servers.close_one_idle() or self.callers.close_one_idle(pressed=over > self.reserve // 2)
+        """Close idle connections while the descriptor limit is exceeded; called when one is opened."""
+        excess = self.callers.held + self.servers.descriptors_in_use - self.limit
+        while excess > 0 and (
+            self.servers.close_one_idle() or self.callers.close_one_idle(pressed=excess > self.reserve // 2)
         ):
-            over -= 1
+            excess -= 1
 
-    # The list.
+    # The server list.
 
-    def take_list(self, told: ServerList, kind: ListKind | None = None) -> None:
+    def apply_list(self, update: ServerList, kind: ListKind | None = None) -> None:
+        """Apply a snapshot or delta of the server list; `kind` overrides the kind that the update states."""
         self.has_list = True
-        lost = self.servers.learn(told.servers, told.whole)
-        self.rewatch_wait = REWATCH_LEAST
-        kind = kind or (ListKind.SNAPSHOT if told.whole else ListKind.CHANGES)
-        gone = [Entry(server, "", 0, Condition.GONE, 0) for server in lost]
+        replaced = self.servers.update_endpoints(update.servers, update.is_snapshot)
+        self.rewatch_delay = MIN_REWATCH_DELAY
+        kind = kind or (ListKind.SNAPSHOT if update.is_snapshot else ListKind.CHANGES)
+        removed = [Entry(server, "", 0, Condition.GONE, 0) for server in replaced]
         before = dict.fromkeys(self.balancer.servers)
-        entries = self.starts.resolve((listed.entry for listed in told.servers), told.started_ms, clock())
-        self.balancer.servers_listed(kind, gone + entries)
-        self._log_changes(before, told.version)
+        entries = self.starts.resolve((listed.entry for listed in update.servers), update.started_ms, clock())
+        self.balancer.servers_listed(kind, removed + entries)
+        self._log_changes(before, update.version)
 
     def _log_changes(self, before: dict[ServerId, None], version: int) -> None:
-        """One line for a list that takes servers out of use or brings new ones into it."""
+        """Log an update that takes servers out of use or adds new ones."""
         after = self.balancer.servers
         left = [server for server in before if server not in after]
         joined = [server for server in after if server not in before]
         if left or joined:
-            pairs = {"version": version, "left": _some(left), "joined": _some(joined), "in_use": len(after)}
+            pairs = {
+                "version": version,
+                "left": _abbreviate(left),
+                "joined": _abbreviate(joined),
+                "in_use": len(after),
+            }
             log.info("servers changed", extra={"pairs": pairs})
 
     def _list_failed(self) -> None:
@@ -354,12 +377,12 @@
         if self.config.settings.list_is_pulled:
             self.balancer.list_failed()
             return
-        # Where the list is to come by itself the module does not ask for it: the watch is the network's.
-        self.draws += 1
-        chance = crc32(f"{self.config.seed} watch {self.draws}".encode()) / 2**32
-        if self.rewatch is not None:
-            # One wait at a time, however many failures there were.
-            self.rewatch.cancel()
-        wait = self.rewatch_wait * (0.5 + chance)
-        self.rewatch = asyncio.get_running_loop().call_later(wait, self.discovery.follow)
-        self.rewatch_wait = min(2 * self.rewatch_wait, REWATCH_MOST)
+        # The decisions don't request a list that is pushed, so the watch is renewed here.
+        self.random_draws += 1
+        random_fraction = crc32(f"{self.config.seed} watch {self.random_draws}".encode()) / 2**32
+        if self.rewatch_timer is not None:
+            # Schedule one retry at a time, however many failures there were.
+            self.rewatch_timer.cancel()
+        wait = self.rewatch_delay * (0.5 + random_fraction)
+        self.rewatch_timer = asyncio.get_running_loop().call_later(wait, self.discovery.follow)
+        self.rewatch_delay = min(2 * self.rewatch_delay, MAX_REWATCH_DELAY)
