--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,4 +1,7 @@
-"""A request whose repeats servers know is sent again only within the time that they remember it."""
+"""A request that is idempotent by its key is retried only while servers remember the key.
+
+A retry may wait for a connection: if it were sent after the deduplication window, it would run twice.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from tests.standins import SETTINGS, LateConnects, NodeCase, Seen, answer, hang_up, until
 
 SECOND_NS = 10**9
-# For how many seconds servers remember a request.
+# Seconds for which servers remember a request's key.
 WINDOW = 0.8
 KEYED = {
     "name": "keyed",
@@ -24,21 +27,22 @@
 
 
 class RepeatWindow(NodeCase):
-    async def played(self, connects_after: float) -> tuple[int, list[float]]:
-        """The first attempt is reset, the second one's connection comes up so late: the answer, and when the
-        attempts came, in seconds after the first.
+    async def play(self, connects_after: float) -> tuple[int, list[float]]:
+        """Reset the first attempt, and establish the second one's connection after `connects_after` seconds.
+
+        Returns the status of the answer, and when each attempt arrived, in seconds after the first.
         """
-        came: list[float] = []
+        arrivals: list[float] = []
 
-        async def play(seen: Seen, reader: Any, writer: Any) -> None:
-            came.append(time.monotonic())
-            if len(came) == 1:
+        async def answer_second(seen: Seen, reader: Any, writer: Any) -> None:
+            arrivals.append(time.monotonic())
+            if len(arrivals) == 1:
                 late.__enter__()
                 await hang_up(seen, reader, writer)
             else:
                 writer.write(answer())
 
-        servers = [await self.stand_in(play), await self.stand_in(play)]
+        servers = [await self.stand_in(answer_second), await self.stand_in(answer_second)]
         late = LateConnects(*servers)
         node = await self.node(*servers, tracks=[KEYED], bounds=BOUNDS)
         caller = await node.caller()
@@ -48,14 +52,14 @@
         late.point.go.set()
         status, _ = await caller.answer()
         late.__exit__()
-        return status, [at - came[0] for at in came]
+        return status, [at - arrivals[0] for at in arrivals]
 
-    async def test_not_behind_a_connection_that_comes_up_after_it(self) -> None:
-        status, came = await self.played(WINDOW + 0.1)
-        self.assertEqual(len(came), 1, came)
+    async def test_connection_established_after_the_window_carries_no_retry(self) -> None:
+        status, arrivals = await self.play(WINDOW + 0.1)
+        self.assertEqual(len(arrivals), 1, arrivals)
         self.assertNotEqual(status, 200)
 
-    async def test_but_behind_one_that_comes_up_within_it(self) -> None:
-        status, came = await self.played(WINDOW / 4)
-        self.assertEqual((status, len(came)), (200, 2))
-        self.assertLess(came[1], WINDOW)
+    async def test_connection_established_within_the_window_carries_the_retry(self) -> None:
+        status, arrivals = await self.play(WINDOW / 4)
+        self.assertEqual((status, len(arrivals)), (200, 2))
+        self.assertLess(arrivals[1], WINDOW)
