--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,7 @@
-"""System calls that fail, are interrupted or short, by the soak's shim: a node serves all the same."""
+"""A node answers every request in time when system calls fail, are interrupted or are short.
+
+The soak test's shim library makes the calls fail.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 REQUESTS, CALLERS = 40, 5
 ALL_AT_ONCE = "all at once"
-# Of each kind one call in so many: often enough that each request meets some.
+# One call in so many of each kind fails: often enough that each request is affected.
 FAULTS = {
     "reads interrupted or short": {"recv": 2},
     "writes interrupted or short": {"send": 2},
@@ -24,30 +27,30 @@
     "no port for a connect": {"connect": 4},
     ALL_AT_ONCE: {"recv": 5, "send": 5, "broken": 40, "socket": 10, "connect": 10, "accept": 4},
 }
-# Each request's time, in seconds.
-PATIENCE = 1.5
+# Seconds within which each request must be answered.
+DEADLINE = 1.5
 
 
 class FailingCalls(unittest.IsolatedAsyncioTestCase):
-    async def test_each_request_is_answered_in_time_whatever_calls_fail(self) -> None:
+    async def test_failing_system_calls_delay_no_answer_beyond_its_deadline(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             try:
                 library = build(Path(folder))
             except ShimError as error:
                 self.skipTest(f"not run: {error}")
-            plays = (
+            runs = (
                 self.play(library, Path(folder) / str(n), calls) for n, calls in enumerate(FAULTS.values())
             )
-            seen = dict(zip(FAULTS, await asyncio.gather(*plays), strict=True))
-        for name, (statuses, forced) in seen.items():
+            seen = dict(zip(FAULTS, await asyncio.gather(*runs), strict=True))
+        for name, (statuses, failed_kinds) in seen.items():
             with self.subTest(name):
-                self.assertEqual(forced, set(FAULTS[name]))
+                self.assertEqual(failed_kinds, set(FAULTS[name]))
                 self.assertEqual(sum(statuses.values()), CALLERS * REQUESTS)
-                # A refusal is a final answer: four connects in a row may fail where several kinds do.
+                # A rejection is possible if several kinds of call fail: four connects in a row may then fail.
                 self.assertLessEqual(set(statuses), {200, 503} if name == ALL_AT_ONCE else {200})
 
     async def play(self, library: Path, log: Path, calls: dict[str, int]) -> tuple[dict[int, int], set[str]]:
-        """The statuses of all answers, and the kinds of call that did fail."""
+        """Return the count of each status, and the kinds of call that were made to fail."""
         servers = [await StandIn().start() for _ in range(3)]
         known = server_list(1, True, *(entry(f"s{n}", server.address) for n, server in enumerate(servers)))
         faults = SystemFaults(calls).environment(library, log)
@@ -55,11 +58,11 @@
 
         async def ask(node: NodeProcess) -> None:
             for _ in range(REQUESTS):
-                # A new connection each: accepts are to fail too.
+                # A new connection for each request, so that accepts fail too.
                 caller = await node.caller()
-                began = time.monotonic()
+                started = time.monotonic()
                 status, _ = await caller.ask("read")
-                self.assertLess(time.monotonic() - began, PATIENCE)
+                self.assertLess(time.monotonic() - started, DEADLINE)
                 statuses[status] += 1
                 caller.leave()
 
