--- a/coraldeal/__main__.py
+++ b/coraldeal/__main__.py
@@ -15,7 +15,7 @@
 from coraldeal import __version__
 from coraldeal.config import NodeConfig, SettingsError, read_node_config
 from coraldeal.logs import set_up
-from coraldeal.net.wire import read_list
+from coraldeal.net.wire import parse_server_list
 
 if TYPE_CHECKING:
     from coraldeal.operator import OperatorFile
@@ -37,7 +37,7 @@
     config = read_node_config(args.config, env)
     if config.known is not None:
         try:
-            read_list(config.known, offset_us=0)
+            parse_server_list(config.known, offset_us=0)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise SettingsError(f"setting known is not a list of servers: {error!r}") from None
     return config
--- a/coraldeal/benchlink/link.py
+++ b/coraldeal/benchlink/link.py
@@ -13,7 +13,7 @@
 from coraldeal.balance import Balancer
 from coraldeal.config import SettingsError, read_settings
 from coraldeal.interface import Condition, Entry, ListKind, Outcome, PeerMessage
-from coraldeal.notes import pack, unpack
+from coraldeal.peer_messages import decode_message, encode_message
 
 OUTCOMES = {
     "10": Outcome.SERVED,
@@ -59,7 +59,7 @@
         self.out.append(f"withdraw\t{inquiry}\t{attempt}")
 
     def send_to_peer(self, peer: int, message: PeerMessage) -> None:
-        self.out.append(f"share\t{peer}\t{pack(message).hex()}")
+        self.out.append(f"share\t{peer}\t{encode_message(message).hex()}")
 
     def wake(self, token: str, after_us: int) -> None:
         self.out.append(f"schedule\t{token}\t{after_us * 1000}")
@@ -232,7 +232,7 @@
 
     def inbox(self, rest: str) -> None:
         peer, words = self._fields(rest, 2)
-        note = unpack(b"" if words == "-" else bytes.fromhex(words))
+        note = decode_message(b"" if words == "-" else bytes.fromhex(words))
         if note is None:
             # Passed over: another version of the program may stand behind it.
             if not self.noted:
--- a/coraldeal/net/bodies.py
+++ b/coraldeal/net/bodies.py
@@ -12,7 +12,7 @@
 from aiohttp.http import HttpProcessingError
 from aiohttp.streams import StreamReader
 
-from coraldeal.net.wire import BODY_MOST, BadCall
+from coraldeal.net.wire import MAX_BUFFERED_BODY, InvalidRequestError
 
 # Whoever sends or takes may be silent for so many seconds, and must keep up so many bytes a second on top.
 GRACE = 2.0
@@ -87,7 +87,7 @@
                 return piece
             except TimeoutError:
                 self.late = Progress()
-        self.late.grace = GRACE if max(self.told, self.passed) > BODY_MOST else LATE_GRACE
+        self.late.grace = GRACE if max(self.told, self.passed) > MAX_BUFFERED_BODY else LATE_GRACE
         try:
             piece = await self.late.within(read())
         except TimeoutError:
@@ -125,34 +125,34 @@
         # Whether its last byte was handed to a server's connection.
         self.passed = False
         # Why it ended early, where that is the caller's doing.
-        self.fault: BadCall | None = None
+        self.fault: InvalidRequestError | None = None
 
     async def read(self) -> bytes:
-        """The next piece, empty at the end; BadCall where the caller is too slow or breaks off."""
+        """The next piece, empty at the end; InvalidRequestError: the caller is too slow or breaks off."""
         self.begun = True
         try:
             piece = await next_piece(self.content, self.progress)
-        except BadCall as bad:
+        except InvalidRequestError as bad:
             self.fault = bad
             raise
         except ConnectionError:
             # Taken for a server's end of the connection, this would be held against that server.
-            self.fault = BadCall(400, "its caller has gone")
+            self.fault = InvalidRequestError(400, "its caller has gone")
             raise self.fault from None
         self.read_in_all += len(piece)
         if self.read_in_all > BODY_LARGEST:
-            self.fault = BadCall(413, f"the body is longer than {BODY_LARGEST} bytes")
+            self.fault = InvalidRequestError(413, f"the body is longer than {BODY_LARGEST} bytes")
             raise self.fault
         return piece
 
 
 async def next_piece(content: StreamReader, progress: Progress) -> bytes:
-    """What came next of a body, empty at its end; BadCall where it is too slow or can't be read."""
+    """What came next of a body, empty at its end; InvalidRequestError: too slow or unreadable."""
     try:
         piece = await progress.within(content.readany())
     except TimeoutError:
-        raise BadCall(408, "the body did not come in time") from None
+        raise InvalidRequestError(408, "the body did not come in time") from None
     except (web.RequestPayloadError, HttpProcessingError):
-        raise BadCall(400, "the body can't be read") from None
+        raise InvalidRequestError(400, "the body can't be read") from None
     progress.done += len(piece)
     return piece
--- a/coraldeal/net/callers.py
+++ b/coraldeal/net/callers.py
@@ -33,9 +33,17 @@
 )
 from coraldeal.net.figures import Figures
 from coraldeal.net.listening import open_listening
-from coraldeal.net.servers import Rest, Spoilt
+from coraldeal.net.servers import AnswerStream, MalformedAnswerError
 from coraldeal.net.unread import has_left, has_unread, is_readable
-from coraldeal.net.wire import BODY_MOST, READY_PATH, Answer, BadCall, Call, read_call, track_of
+from coraldeal.net.wire import (
+    MAX_BUFFERED_BODY,
+    READY_PATH,
+    Answer,
+    CallerRequest,
+    InvalidRequestError,
+    parse_request,
+    request_class_of,
+)
 
 log = logging.getLogger(__name__)
 
@@ -150,7 +158,7 @@
         task: asyncio.Task[None],
     ) -> web.BaseRequest:
         return web.BaseRequest(
-            message, payload, protocol, writer, task, self._loop, client_max_size=BODY_MOST
+            message, payload, protocol, writer, task, self._loop, client_max_size=MAX_BUFFERED_BODY
         )
 
 
@@ -160,7 +168,7 @@
     def __init__(
         self,
         tracks: dict[str, int],
-        live: Callable[[Call, int, int, Callable[[], bool]], Awaitable[Answer]],
+        live: Callable[[CallerRequest, int, int, Callable[[], bool]], Awaitable[Answer]],
         is_ready: Callable[[], bool],
         is_crowded: Callable[[], bool],
         make_room: Callable[[], None],
@@ -298,40 +306,42 @@
             return self._response(Answer(200 if self.is_ready() else 503))
         try:
             call = await self._read(request, connection)
-        except BadCall as bad:
+        except InvalidRequestError as bad:
             pairs = {"request": request.headers.get("Req-Id", ""), "status": bad.status, "why": str(bad)}
             log.debug("request refused", extra={"pairs": pairs})
             self._turned_away(bad.status)
-            track = track_of(request.raw_path)
+            track = request_class_of(request.raw_path)
             if track in self.tracks:
                 self.figures.ended(track, bad.status)
             plain = (("Content-Type", "text/plain"),)
             return self._response(Answer(bad.status, f"{bad}\n".encode(), plain), close=True)
-        if call.rest is not None:
+        if call.body_stream is not None:
             # An early answer may find its caller still sending: closing at once would take it back.
             connection._lingering_time = LINGER
         if self.is_crowded():
             # Guards the limit on descriptors: nothing was sent, so trying again is harmless.
             pairs = {"request": call.request_id, "status": 503, "why": "descriptors are short"}
             log.debug("request refused", extra={"pairs": pairs})
-            self.figures.ended(call.track, 503)
+            self.figures.ended(call.request_class, 503)
             return self._response(Answer(503), close=True)
-        patience = self.tracks[call.track] if call.left_us is None else call.left_us
-        unread_us = 0 if call.rest else _unread_us(request)
+        patience = self.tracks[call.request_class] if call.time_left_us is None else call.time_left_us
+        unread_us = 0 if call.body_stream else _unread_us(request)
         loop = asyncio.get_running_loop()
         due = loop.time() + (patience - unread_us) / 1e6
         answer = await self.live(call, patience, unread_us, lambda: not has_left(request.transport))
-        if answer.rest is not None:
+        if answer.body_stream is not None:
             # Behind a body that was passed on, the time runs from its last byte: that was later.
-            due = due if call.rest is None else loop.time() + patience / 1e6
-            return await self._pass_on(request, call, answer, answer.rest, due)
-        self.figures.ended(call.track, answer.status)
+            due = due if call.body_stream is None else loop.time() + patience / 1e6
+            return await self._pass_on(request, call, answer, answer.body_stream, due)
+        self.figures.ended(call.request_class, answer.status)
         # Nobody hears what else stands in the line of a client that has gone: each would cost a connection.
         gone = answer.status == 499 and has_left(request.transport)
-        return self._response(answer, close=gone or (call.rest is not None and not request.content.is_eof()))
+        return self._response(
+            answer, close=gone or (call.body_stream is not None and not request.content.is_eof())
+        )
 
     async def _pass_on(
-        self, request: web.BaseRequest, call: Call, answer: Answer, rest: Rest, due_at: float
+        self, request: web.BaseRequest, call: CallerRequest, answer: Answer, rest: AnswerStream, due_at: float
     ) -> web.StreamResponse:
         """An answer as it comes; one that breaks off cuts its connection, so that the caller can tell."""
         response = web.StreamResponse(status=answer.status, headers=CIMultiDict(answer.headers))
@@ -359,7 +369,7 @@
             await progress.within(response.write_eof())
             whole = True
             end_by_reset(request.transport, False)
-        except (Spoilt, TimeoutError) as error:
+        except (MalformedAnswerError, TimeoutError) as error:
             # The server broke off or never comes to an end, or the caller takes nothing more.
             log.info("answer broken off", extra={"pairs": {"why": str(error) or "its caller is too slow"}})
         except ConnectionError:
@@ -370,20 +380,20 @@
             rest.close()
             if not whole and request.transport is not None:
                 request.transport.abort()
-            self.figures.ended(call.track, answer.status, whole)
+            self.figures.ended(call.request_class, answer.status, whole)
         return response
 
-    async def _read(self, request: web.BaseRequest, connection: _Connection) -> Call:
+    async def _read(self, request: web.BaseRequest, connection: _Connection) -> CallerRequest:
         """A request with its body, or as much of a large one as is kept; it may end in one way only."""
         message, fields = request._message, request.headers
         if message.version not in (HttpVersion10, HttpVersion11) or message.upgrade:
-            raise BadCall(400, "this is HTTP/1.1 without upgrades")
+            raise InvalidRequestError(400, "this is HTTP/1.1 without upgrades")
         if any(len(fields.getall(name, ())) > 1 for name in ONCE):
-            raise BadCall(400, "a field stands twice that may stand once")
+            raise InvalidRequestError(400, "a field stands twice that may stand once")
         if fields.get("Transfer-Encoding", "chunked").lower() != "chunked":
-            raise BadCall(400, "Transfer-Encoding is not chunked")
+            raise InvalidRequestError(400, "Transfer-Encoding is not chunked")
         if (request.content_length or 0) > BODY_LARGEST:
-            raise BadCall(413, f"the body is longer than {BODY_LARGEST} bytes")
+            raise InvalidRequestError(413, f"the body is longer than {BODY_LARGEST} bytes")
         if fields.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         body, rest = bytearray(), None
@@ -393,13 +403,13 @@
                 body += piece
                 connection.kept += len(piece)
                 self.kept += len(piece)
-                if len(body) > (KEPT_MOST if self.kept <= KEPT_ALL else BODY_MOST):
+                if len(body) > (KEPT_MOST if self.kept <= KEPT_ALL else MAX_BUFFERED_BODY):
                     rest = Body(request.content, len(body), progress)
                     break
         raw = request.raw_headers
         # By the settings of now: a request whose body was still coming when they changed was not taken yet.
-        call = read_call(request.method, request.raw_path, fields, raw, bytes(body), self.tracks)
-        return call if rest is None else replace(call, rest=rest, length=request.content_length)
+        call = parse_request(request.method, request.raw_path, fields, raw, bytes(body), self.tracks)
+        return call if rest is None else replace(call, body_stream=rest, length=request.content_length)
 
     def _turned_away(self, status: int) -> None:
         """Count, and tell of it now and then."""
--- a/coraldeal/net/desk.py
+++ b/coraldeal/net/desk.py
@@ -29,14 +29,17 @@
         carrier = node.host.carrier
         notes = {}
         if carrier is not None:
-            passed_over = carrier.unreadable + carrier.unknown
+            passed_over = carrier.invalid + carrier.unknown
             notes = {"notes_passed_over": passed_over, "notes_unsent": carrier.unsent}
         listener = node.callers.listener
         shortages = 0 if listener is None else listener.shortages
         discovery = node.discovery
         list_calls = {}
-        if discovery.failed_in_all:
-            list_calls = {"list_calls": discovery.made, "list_calls_failed": discovery.failed_in_all}
+        if discovery.total_failed_calls:
+            list_calls = {
+                "list_calls": discovery.total_calls,
+                "list_calls_failed": discovery.total_failed_calls,
+            }
         return {
             **notes,
             **list_calls,
--- a/coraldeal/net/host.py
+++ b/coraldeal/net/host.py
@@ -15,10 +15,10 @@
 from coraldeal.interface import InquiryId, PeerMessage, ServerId
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.inquiry import Inquiries, Send
-from coraldeal.net.wire import Answer, deferral, failure
+from coraldeal.net.wire import Answer, failure, rejection
 
 if TYPE_CHECKING:
-    from coraldeal.net.carrier import Carrier
+    from coraldeal.net.peer_transport import PeerTransport
 
 log = logging.getLogger("coraldeal.balance")
 
@@ -37,7 +37,7 @@
         self.discovery = discovery
         self.balancer: Balancer | None = None
         # Notes to other nodes go by it; None: there are none.
-        self.carrier: Carrier | None = None
+        self.carrier: PeerTransport | None = None
 
     @property
     def now(self) -> int:
@@ -47,7 +47,7 @@
         self._choose(inquiry, Send(server, timeout_us, self.now))
 
     def reject(self, inquiry: InquiryId, retry_after_us: int) -> None:
-        self._choose(inquiry, deferral(retry_after_us))
+        self._choose(inquiry, rejection(retry_after_us))
 
     def fail(self, inquiry: InquiryId) -> None:
         self._choose(inquiry, failure())
@@ -59,7 +59,7 @@
 
     def send_to_peer(self, peer: int, message: PeerMessage) -> None:
         if self.carrier is not None:
-            self.carrier.tell(peer, message)
+            self.carrier.send(peer, message)
 
     def wake(self, token: str, after_us: int) -> None:
         self.loop.call_later(after_us / 1e6, self._alarm, token)
--- a/coraldeal/net/inquiry.py
+++ b/coraldeal/net/inquiry.py
@@ -10,8 +10,8 @@
 
 from coraldeal.balance import Balancer
 from coraldeal.interface import InquiryId, Outcome, ServerId
-from coraldeal.net.servers import Servers
-from coraldeal.net.wire import Answer, AttemptEnd, Call, failure
+from coraldeal.net.servers import ServerPool
+from coraldeal.net.wire import Answer, AttemptEnd, CallerRequest, failure
 
 log = logging.getLogger(__name__)
 
@@ -94,7 +94,7 @@
 class Inquiries:
     """All inquiries in hand."""
 
-    def __init__(self, servers: Servers) -> None:
+    def __init__(self, servers: ServerPool) -> None:
         self.servers = servers
         self.in_hand: dict[InquiryId, Inquiry] = {}
         # The callers' own ids of these.
@@ -120,7 +120,9 @@
                 with contextlib.suppress(RuntimeError):
                     inquiry.timer.reschedule(at)
 
-    async def live(self, call: Call, left_us: int, unread_us: int, is_here: Callable[[], bool]) -> Answer:
+    async def live(
+        self, call: CallerRequest, left_us: int, unread_us: int, is_here: Callable[[], bool]
+    ) -> Answer:
         """One inquiry, from its arrival to its final answer. The task is cancelled when the client leaves.
 
         `unread_us` is how long it lay here before. The module is not told: it takes a try with less time left
@@ -145,7 +147,7 @@
             inquiry.due_us = self.servers.clock() + wait_us
             async with asyncio.timeout(wait_us / 1e6) as timer:
                 inquiry.timer = timer
-                balancer.inquiry_arrived(name, call.track, call.tenant, left_us, call.repeat)
+                balancer.inquiry_arrived(name, call.request_class, call.tenant, left_us, call.is_retry)
                 while True:
                     choice = await inquiry.choice
                     if isinstance(choice, Answer):
@@ -166,12 +168,12 @@
                         end = await asyncio.shield(inquiry.attempt)
                     inquiry.attempt = None
                     inquiry.choice = loop.create_future()
-                    if call.rest is not None and end.outcome is not Outcome.SERVED:
-                        if call.rest.fault is not None:
+                    if call.body_stream is not None and end.outcome is not Outcome.SERVED:
+                        if call.body_stream.fault is not None:
                             # The caller's own doing says nothing of the server.
                             self._attempt_ended(inquiry, end, over=True)
-                            return Answer(call.rest.fault.status)
-                        if call.rest.begun:
+                            return Answer(call.body_stream.fault.status)
+                        if call.body_stream.begun:
                             # No further attempt can carry all of it.
                             balancer.body_not_replayable(name)
                     if inquiry.left:
@@ -182,7 +184,9 @@
                     if end.outcome is Outcome.SERVED and end.answer is not None:
                         return end.answer
         except TimeoutError:
-            log.warning("patience over unanswered", extra={"pairs": {"inquiry": name, "track": call.track}})
+            log.warning(
+                "patience over unanswered", extra={"pairs": {"inquiry": name, "track": call.request_class}}
+            )
             self._left(inquiry)
             return failure(504)
         except asyncio.CancelledError:
@@ -190,7 +194,7 @@
             raise
         except Exception:
             # A bug must not cost the other inquiries, nor this one its answer.
-            log.exception("inquiry failed", extra={"pairs": {"inquiry": name, "track": call.track}})
+            log.exception("inquiry failed", extra={"pairs": {"inquiry": name, "track": call.request_class}})
             self._left(inquiry)
             return failure(500)
         finally:
@@ -198,7 +202,7 @@
                 self._over(inquiry)
 
     async def _attempt(
-        self, inquiry: Inquiry, call: Call, choice: Send, wait_us: int, timer: asyncio.Timeout
+        self, inquiry: Inquiry, call: CallerRequest, choice: Send, wait_us: int, timer: asyncio.Timeout
     ) -> AttemptEnd:
         """One attempt; where the body is still to come, times run from its last byte on."""
         balancer = self.balancer
@@ -207,21 +211,21 @@
         def may_begin() -> bool:
             return balancer.may_start_attempt(inquiry.name) and inquiry.begin()
 
-        if call.rest is None:
+        if call.body_stream is None:
 
             def message() -> bytes:
                 """With the time left when its first byte is written: a connection may be long in coming."""
                 due_us = min(choice.chosen_at_us + choice.timeout_us, inquiry.due_us)
-                return call.written(due_us - self.servers.clock())
+                return call.encode_attempt(due_us - self.servers.clock())
 
             return await self.servers.attempt(
                 choice.server,
                 message,
                 choice.timeout_us,
-                careful=call.track in self.irreversible,
-                may_begin=may_begin,
+                not_idempotent=call.request_class in self.irreversible,
+                may_start=may_begin,
             )
-        first_piece = call.written(min(choice.timeout_us, wait_us))
+        first_piece = call.encode_attempt(min(choice.timeout_us, wait_us))
         balancer.body_stream_started(inquiry.name)
         timer.reschedule(None)
 
@@ -240,10 +244,10 @@
                 choice.server,
                 first_piece,
                 min(choice.timeout_us, wait_us),
-                call=call,
+                request=call,
                 on_body_sent=sent,
-                careful=call.track in self.irreversible,
-                may_begin=may_begin,
+                not_idempotent=call.request_class in self.irreversible,
+                may_start=may_begin,
             )
         finally:
             if timer.when() is None:
@@ -283,8 +287,8 @@
         self._over(inquiry)
         if not attempt.cancelled() and attempt.exception() is None:
             answer = attempt.result().answer
-            if answer is not None and answer.rest is not None:
-                answer.rest.close()
+            if answer is not None and answer.body_stream is not None:
+                answer.body_stream.close()
         # An attempt that failed by a bug was logged with its inquiry; its server's place must be free again.
         broken = attempt.cancelled() or attempt.exception() is not None
         self._attempt_ended(inquiry, AttemptEnd(Outcome.RESET, 0) if broken else attempt.result(), over=True)
--- a/coraldeal/net/succession.py
+++ b/coraldeal/net/succession.py
@@ -8,7 +8,7 @@
 from coraldeal.handover.link import Link
 from coraldeal.handover.state import learned, resume
 from coraldeal.interface import Condition, Entry, ListKind
-from coraldeal.net.wire import Listed, ServerList
+from coraldeal.net.wire import ListEntry, ServerList
 
 if TYPE_CHECKING:
     from coraldeal.net.node import Node
@@ -43,7 +43,7 @@
         try:
             told = state["list"]
             servers = [
-                Listed(
+                ListEntry(
                     Entry(str(name), str(zone), int(cell), Condition(condition), int(born), *_shape(*shape)),
                     str(address),
                 )
@@ -51,7 +51,7 @@
             ]
             known = ServerList(int(told["version"]), True, servers)
             self.node.discovery.version = known.version
-            self.node.take_list(known, ListKind.REMEMBERED)
+            self.node.apply_list(known, ListKind.REMEMBERED)
             resume(self.node.balancer, state["learned"])
         except (LookupError, TypeError, ValueError, AttributeError) as error:
             log.warning("begun without the elder's state", extra={"pairs": {"why": repr(error)}})
@@ -60,7 +60,7 @@
 
     def state(self) -> dict[str, Any]:
         node = self.node
-        addresses = {name: target.address for name, target in node.servers.targets.items()}
+        addresses = {name: target.address for name, target in node.servers.endpoints.items()}
         servers = [
             (
                 e.server,
@@ -93,4 +93,4 @@
         self.node.callers.accept(on)
 
     def take_part(self, part: float) -> None:
-        self.node.take_part(part)
+        self.node.set_share(part)
--- a/coraldeal/relay/link.py
+++ b/coraldeal/relay/link.py
@@ -14,7 +14,7 @@
 import aiohttp
 from yarl import URL
 
-from coraldeal.net.wire import OBJECT_MOST, Objects, list_url
+from coraldeal.net.wire import MAX_OBJECT_BYTES, JsonObjectStream, list_url
 from coraldeal.relay.route import LIVENESS_TIMEOUT_US, SourceSelector
 from coraldeal.relay.state import (
     BACKFILL_GENERATIONS,
@@ -44,7 +44,7 @@
     return int(text[:9]) * 1_000_000 if text.isascii() and text.isdigit() else 0
 
 
-def _feed_objects(objects: Objects, piece: bytes) -> Iterator[bytes]:
+def _feed_objects(objects: JsonObjectStream, piece: bytes) -> Iterator[bytes]:
     """Yields each object that the piece completes; raises InvalidUpdate at unreadable bytes behind them."""
     try:
         yield from objects.feed(piece)
@@ -112,7 +112,7 @@
 
         None means that no readable object came within `GENERATION_QUERY_TIMEOUT_S`.
         """
-        objects = Objects()
+        objects = JsonObjectStream()
         try:
             async with (
                 asyncio.timeout(GENERATION_QUERY_TIMEOUT_S),
@@ -181,14 +181,14 @@
             text = bytearray()
             async for piece in response.content.iter_any():
                 text += piece
-                if len(text) > OBJECT_MOST:
-                    raise InvalidUpdate(f"an object of more than {OBJECT_MOST} bytes")
+                if len(text) > MAX_OBJECT_BYTES:
+                    raise InvalidUpdate(f"an object of more than {MAX_OBJECT_BYTES} bytes")
             self._apply(bytes(text), True, -1, _parse_age_us(response))
         return self.state.generation
 
     async def _watch(self, address: str, liveness_timeout: asyncio.Timeout, after: int) -> None:
         loop = asyncio.get_running_loop()
-        objects = Objects()
+        objects = JsonObjectStream()
         is_first = True
         async with liveness_timeout:
             liveness_timeout.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
@@ -200,12 +200,12 @@
                         completed += 1
                         self._apply(text, is_first, after, age_us if is_first else 0)
                         is_first = False
-                    if not completed and not objects.begun:
+                    if not completed and not objects.has_started:
                         # The piece is a heartbeat, a blank line. The source sends one only when it has no
                         # changes left to send.
                         is_first = False
                         self._record_contact(0)
-                    if completed or not objects.begun:
+                    if completed or not objects.has_started:
                         self.is_backfilled = True
                         liveness_timeout.reschedule(loop.time() + LIVENESS_TIMEOUT_US / 1e6)
 
--- a/coraldeal/relay/state.py
+++ b/coraldeal/relay/state.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from typing import Any, NamedTuple
 
-from coraldeal.net.wire import read_list
+from coraldeal.net.wire import parse_server_list
 
 # How many tombstones are kept. Beyond that the oldest is dropped, and a follower that has not received it
 # gets a snapshot.
@@ -100,7 +100,7 @@
     """Parses one object of a source; raises InvalidUpdate for an object that a node could not read either."""
     try:
         values = json.loads(text, parse_constant=_reject_constant)
-        read_list(values, 0)
+        parse_server_list(values, 0)
         generation = values["generation"]
         if not isinstance(generation, int) or isinstance(generation, bool) or generation < 0:
             raise ValueError(f"generation is not an integer of 0 or more: {generation!r}")
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow nodes: `python -m coraldeal.rig.scale.hollow JOB`, many in one process.
 
 Each plays a node's control side with the product's own classes: the watch (`Discovery`), the addresses
-(`Servers`), the list in the module (`Balancer`) with its sweep. It has no callers, so no attempts either.
+(`ServerPool`), the list in the module (`Balancer`) with its sweep. It has no callers, so no attempts either.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
-from coraldeal.net.node import REWATCH_LEAST, REWATCH_MOST
-from coraldeal.net.servers import Servers
-from coraldeal.net.wire import ServerList, read_list
+from coraldeal.net.node import MAX_REWATCH_DELAY, MIN_REWATCH_DELAY
+from coraldeal.net.servers import ServerPool
+from coraldeal.net.wire import ServerList, parse_server_list
 from coraldeal.rig.scale import books
 from coraldeal.rig.scale.books import HollowBook, HollowJob, ListedRow, NodeBook, Told
 from coraldeal.rig.scale.journal import sequence_of
@@ -78,16 +78,16 @@
         # The server that this node does not let go: a planted fault.
         self.kept = kept
         self.on_first: Callable[[], None] | None = on_list
-        self.rewatch_wait = REWATCH_LEAST
+        self.rewatch_wait = MIN_REWATCH_DELAY
         self.rewatch: asyncio.TimerHandle | None = None
         self.draws = 0
-        read = partial(read_list, offset_us=offset_us)
+        read = partial(parse_server_list, offset_us=offset_us)
         # One address alone is the configuration's; several are the operator's `[lists]`.
         several = job.addresses if len(job.addresses) > 1 else ()
         self.discovery = Discovery(
             job.addresses[0], read, self.take_list, self.list_failed, job.services, several, str(config.seed)
         )
-        self.servers = Servers(
+        self.servers = ServerPool(
             clock, config.conn_idle_us, config.connect_timeout_us, _nothing, self.may_send, Figures(())
         )
         self.balancer = Balancer(self, config.settings, config.seed)
@@ -101,9 +101,9 @@
                 if listed.entry.server != self.kept or listed.entry.condition is not Condition.GONE
             ])  # fmt: skip
         before = self.balancer.listed
-        lost = self.servers.learn(told.servers, told.whole)
-        self.rewatch_wait = REWATCH_LEAST
-        kind = ListKind.SNAPSHOT if told.whole else ListKind.CHANGES
+        lost = self.servers.update_endpoints(told.servers, told.is_snapshot)
+        self.rewatch_wait = MIN_REWATCH_DELAY
+        kind = ListKind.SNAPSHOT if told.is_snapshot else ListKind.CHANGES
         gone = [Entry(server, "", 0, Condition.GONE, 0) for server in lost]
         self.balancer.servers_listed(kind, gone + [listed.entry for listed in told.servers])
         self.write_down(told, before)
@@ -117,7 +117,7 @@
             self.rewatch.cancel()
         wait = self.rewatch_wait * (0.5 + chance)
         self.rewatch = self.loop.call_later(wait, self.discovery.follow)
-        self.rewatch_wait = min(2 * self.rewatch_wait, REWATCH_MOST)
+        self.rewatch_wait = min(2 * self.rewatch_wait, MAX_REWATCH_DELAY)
 
     def may_send(self, server: ServerId) -> bool:
         return self.balancer.may_send(server)
@@ -127,7 +127,7 @@
     def write_down(self, told: ServerList, before: dict[ServerId, Entry]) -> None:
         """What the module holds now of what it was told; of a whole list only what is not as before."""
         at_us = clock()
-        if told.whole:
+        if told.is_snapshot:
             self.book.wholes.append((at_us, told.version))
         if self.on_first is not None:
             self.on_first()
@@ -135,7 +135,7 @@
             return
         for entry, _ in told.servers:
             held = self.balancer.listed.get(entry.server)
-            if told.whole and before.get(entry.server) == held:
+            if told.is_snapshot and before.get(entry.server) == held:
                 continue
             word = WORDS[Condition.GONE if held is None else held.condition]
             row = ListedRow(at_us, entry.server, word, sequence_of((held or entry).size))
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -37,12 +37,12 @@
     RequestClass,
     Settings,
 )
-from coraldeal.net.carrier import Carrier
 from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
-from coraldeal.net.servers import Servers
-from coraldeal.net.wire import Listed, Objects, read_list
-from coraldeal.notes import pack
+from coraldeal.net.peer_transport import PeerTransport
+from coraldeal.net.servers import ServerPool
+from coraldeal.net.wire import JsonObjectStream, ListEntry, parse_server_list
+from coraldeal.peer_messages import encode_message
 from coraldeal.rig.clock import run as on_clock
 from coraldeal.rig.experiment import (
     Experiment,
@@ -142,10 +142,10 @@
     return Entry(f"server-{number}", f"zone-{number % ZONES}", number, condition, 0)
 
 
-def _listed(count: int) -> list[Listed]:
+def _listed(count: int) -> list[ListEntry]:
     """Entries with an address of their own each."""
     return [
-        Listed(_entry(number), f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080")
+        ListEntry(_entry(number), f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080")
         for number in range(count)
     ]
 
@@ -254,7 +254,7 @@
         try:
             before = tracemalloc.get_traced_memory()[0]
             listed = _listed(count)
-            servers.learn(listed, whole=True)
+            servers.update_endpoints(listed, is_snapshot=True)
             balancer = Balancer(_StillHost(), _settings(), 7)
             balancer.servers_listed(ListKind.SNAPSHOT, [one.entry for one in listed])
             del listed
@@ -266,8 +266,8 @@
     return asyncio.run(held())
 
 
-def _servers() -> Servers:
-    return Servers(clock, 5 * SECOND, SECOND, lambda: None, lambda server: True, Figures(()))
+def _servers() -> ServerPool:
+    return ServerPool(clock, 5 * SECOND, SECOND, lambda: None, lambda server: True, Figures(()))
 
 
 def learn(count: int) -> float:
@@ -278,7 +278,7 @@
         costs = []
         for _ in range(REPEATS):
             servers = _servers()
-            costs.append(_cost_us(lambda kept=servers: kept.learn(listed, whole=True), 1))  # type: ignore[misc]
+            costs.append(_cost_us(lambda kept=servers: kept.update_endpoints(listed, is_snapshot=True), 1))  # type: ignore[misc]
             await servers.close()
             if costs[-1] > SECOND:
                 # Seconds of it are surely no noise.
@@ -294,13 +294,13 @@
     async def learned() -> float:
         listed = _listed(count)
         servers = _servers()
-        servers.learn(listed, whole=True)
+        servers.update_endpoints(listed, is_snapshot=True)
         one, place = listed[count // 2], count // 2
         two = [one._replace(entry=_entry(place, Condition.GONE))], [one]
 
         def there_and_back() -> None:
             for change in two:
-                servers.learn(change)
+                servers.update_endpoints(change)
 
         cost = _cost_us(there_and_back, 4 * REPEATS) / 2
         await servers.close()
@@ -314,7 +314,7 @@
 
     async def looked() -> float:
         servers = _servers()
-        servers.learn(_listed(count), whole=True)
+        servers.update_endpoints(_listed(count), is_snapshot=True)
         cost = _cost_us(servers.close_one_idle, 4 * REPEATS)
         await servers.close()
         return cost
@@ -330,7 +330,7 @@
 def parse(count: int) -> float:
     """A whole list from bytes to entries: framing and reading."""
     text = json.dumps(_whole(count)).encode()
-    return _cost_us(lambda: [read_list(whole, 0) for whole in Objects().feed(text)])
+    return _cost_us(lambda: [parse_server_list(whole, 0) for whole in JsonObjectStream().feed(text)])
 
 
 def parse_changes(count: int) -> float:
@@ -342,10 +342,10 @@
     ]
 
     def read() -> None:
-        objects = Objects()
+        objects = JsonObjectStream()
         for line in lines:
             for whole in objects.feed(line):
-                read_list(whole, 0)
+                parse_server_list(whole, 0)
 
     return _cost_us(read)
 
@@ -408,12 +408,12 @@
 
     async def sent() -> float:
         nodes = (("127.0.0.1", _free_port()), ("127.0.0.1", _free_port()))
-        carrier = Carrier(nodes, 0, lambda number, note: None)
+        carrier = PeerTransport(nodes, 0, lambda number, note: None)
         await carrier.open()
         note = PeerMessage(PeerMessageKind.ASK, 77, 3)
         begun = time.thread_time_ns()
         for _ in range(count):
-            carrier.tell(1, note)
+            carrier.send(1, note)
             await asyncio.sleep(0.001)
         cost = (time.thread_time_ns() - begun) / 1000
         carrier.close()
@@ -437,14 +437,14 @@
             if came == count:
                 done.set()
 
-        carrier = Carrier(nodes, 0, take)
+        carrier = PeerTransport(nodes, 0, take)
         await carrier.open()
 
         def send() -> None:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
                 peer.bind(nodes[1])
                 for _ in range(count):
-                    peer.sendto(pack(PeerMessage(PeerMessageKind.ASK, 77, 3)), nodes[0])
+                    peer.sendto(encode_message(PeerMessage(PeerMessageKind.ASK, 77, 3)), nodes[0])
                     time.sleep(0.001)
 
         thread = threading.Thread(target=send)
@@ -472,16 +472,16 @@
             end.bind(("127.0.0.1", 0))
             end.listen(2 * count)
             servers = _servers()
-            servers.learn([Listed(_entry(0), f"127.0.0.1:{end.getsockname()[1]}")])
+            servers.update_endpoints([ListEntry(_entry(0), f"127.0.0.1:{end.getsockname()[1]}")])
             tracemalloc.start()
             try:
                 before = tracemalloc.get_traced_memory()[0]
-                made = [await servers._connect(servers.targets["server-0"]) for _ in range(count)]
+                made = [await servers._connect(servers.endpoints["server-0"]) for _ in range(count)]
                 for connection in made:
-                    connection.rest()
+                    connection.set_idle()
                 del made, connection
-                if servers.held != count:
-                    raise ExperimentError(f"of {count} connections {servers.held} are held")
+                if servers.descriptors_in_use != count:
+                    raise ExperimentError(f"of {count} connections {servers.descriptors_in_use} are held")
                 return float(tracemalloc.get_traced_memory()[0] - before)
             finally:
                 tracemalloc.stop()
--- a/coraldeal/rig/soak/planted.py
+++ b/coraldeal/rig/soak/planted.py
@@ -72,7 +72,7 @@
 
 def hears_drains_late() -> None:
     """Each list is acted on a second after it came."""
-    take_list = node_module.Node.take_list
+    take_list = node_module.Node.apply_list
 
     def late(self: node_module.Node, *told: Any) -> None:
         if not self.has_list:
@@ -80,7 +80,7 @@
             return
         asyncio.get_running_loop().call_later(1.0, lambda: take_list(self, *told))
 
-    vars(node_module)["Node"].take_list = late
+    vars(node_module)["Node"].apply_list = late
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -219,9 +219,9 @@
     async def __aexit__(self, *_: object) -> None:
         for caller in self.callers:
             caller.leave()
-        self.node.ending.set()
+        self.node.stop_requested.set()
         # Nobody comes any more: the end need not wait for callers.
-        with mock.patch("coraldeal.net.node.STILL_ACCEPTING", 0):
+        with mock.patch("coraldeal.net.node.ACCEPT_AFTER_SIGTERM", 0):
             await self.task
 
     async def caller(self) -> Caller:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -15,8 +15,8 @@
 from coraldeal.admin import listener
 from coraldeal.admin.commands import answer
 from coraldeal.config import SettingsError, lacking, node_config, read_node_config
-from coraldeal.net.servers import Connection, Target
-from coraldeal.net.wire import read_list
+from coraldeal.net.servers import Connection, Endpoint
+from coraldeal.net.wire import parse_server_list
 from tests.standins import (
     SETTINGS,
     RunningNode,
@@ -72,7 +72,7 @@
         given = replace(config(server_list(1, True, *entries), **told), operator=("127.0.0.1", 0))
         running = await self.enterAsyncContext(RunningNode(given))
         await until(lambda: running.node.can_serve())
-        door = running.node.door
+        door = running.node.admin_listener
         assert door is not None and door.listener is not None
         self.port = door.listener.sockets[0].getsockname()[1]
         return running
@@ -137,7 +137,7 @@
         connect = running.node.servers._connect
         out: list[int] = []
 
-        async def slowly(target: Target, careful: bool = False) -> Connection:
+        async def slowly(target: Endpoint, careful: bool = False) -> Connection:
             if not out:
                 out.extend(i for i, server in enumerate(servers) if server.address == target.address)
                 self.assertEqual(await self.call(b"maint-on s%d\n" % out[0]), b"OK\n")
@@ -153,12 +153,12 @@
         given = config(server_list(1, True), discovery="127.0.0.1:1")
         running = RunningNode(replace(given, known=None, operator=("127.0.0.1", 0)))
         await self.enterAsyncContext(running)
-        await until(lambda: running.node.door is not None and running.node.phase.value == "ready")
-        door = running.node.door
+        await until(lambda: running.node.admin_listener is not None and running.node.phase.value == "ready")
+        door = running.node.admin_listener
         assert door is not None and door.listener is not None
         self.port = door.listener.sockets[0].getsockname()[1]
         self.assertTrue((await self.call(b"status\n")).startswith(b"ERR"))
-        running.node.take_list(read_list(server_list(1, True), 0))
+        running.node.apply_list(parse_server_list(server_list(1, True), 0))
         self.assertEqual(await self.call(b"status\n"), b"OK\n")
 
 
@@ -170,7 +170,7 @@
         told: dict[str, Any] = {"listen": "127.0.0.1:1", "seed": "7", "settings": SETTINGS}
         node.config = replace(node.config, given=told)
         path = folder / "config.json"
-        node.read_anew = lambda: read_node_config(str(path), {})
+        node.load_config = lambda: read_node_config(str(path), {})
         bad: list[tuple[str, str]] = [("", "JSON"), (json.dumps(told)[:-9], "JSON"), ("[]", "object")]
         for key, value, word in (
             ("patience_ns", 0, "above 0"),
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -138,7 +138,7 @@
             await until(lambda: running.node.callers.passing == 1)
             await until(lambda: running.node.callers.passing == 0)
         self.assertLess(sent, len(LARGE) * 8)
-        await until(lambda: running.node.servers.open == 0)
+        await until(lambda: running.node.servers.open_connections == 0)
 
 
 class Bodies(BodiesCase):
@@ -159,7 +159,7 @@
         running = await self.node(answer)  # type: ignore[arg-type]
         server = await asyncio.start_server(talk, "127.0.0.1", 0)
         self.addCleanup(server.close)
-        running.node.servers.targets["s0"].port = server.sockets[0].getsockname()[1]
+        running.node.servers.endpoints["s0"].port = server.sockets[0].getsockname()[1]
         head = b"POST /read/x HTTP/1.1\r\nHost: n\r\nReq-Deadline: 300m\r\nReq-Id: "
         pieces = [LARGE[i : i + 99_991] for i in range(0, len(LARGE), 99_991)]
         plain = head + b"1\r\nContent-Length: %d\r\n\r\n" % len(LARGE), pieces
@@ -199,7 +199,7 @@
                 running = await self.node(answer)  # type: ignore[arg-type]
                 server = await asyncio.start_server(talk, "127.0.0.1", 0)
                 self.addCleanup(server.close)
-                running.node.servers.targets["s0"].port = server.sockets[0].getsockname()[1]
+                running.node.servers.endpoints["s0"].port = server.sockets[0].getsockname()[1]
                 caller = await running.caller()
                 # The second one's body never comes whole: it did not run, so asking again is harmless.
                 length = size if size < MIB else len(LARGE)
@@ -229,7 +229,7 @@
             caller.raw(LARGE[: 2 * MIB])
             self.assertEqual(await caller.status(), 408)
         self.assertEqual((ends, self.server.seen), ([Outcome.CANCELLED], []))
-        await until(lambda: running.node.servers.open == 0)
+        await until(lambda: running.node.servers.open_connections == 0)
         self.assertEqual(running.node.callers.kept, 0)
 
 
@@ -241,7 +241,7 @@
             writer.write(answer())
 
         caller = await (await self.node(play)).caller()
-        with mock.patch("coraldeal.net.servers.STALL", 0.05):
+        with mock.patch("coraldeal.net.servers.ANSWER_STALL_TIMEOUT", 0.05):
             self.assertEqual((await caller.ask("write", b"x"))[0], 200)
 
     async def test_a_class_dropped_while_its_body_came(self) -> None:
@@ -251,7 +251,7 @@
         await until(lambda: running.node.callers.kept == 1)
         settings = running.node.config.settings
         kept = replace(settings, request_classes=settings.request_classes[:2])
-        running.node.read_anew = lambda: replace(running.node.config, settings=kept)
+        running.node.load_config = lambda: replace(running.node.config, settings=kept)
         running.node.reload()
         caller.raw(b"b")
         self.assertEqual(await caller.status(), 404)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -15,9 +15,9 @@
 from coraldeal.interface import Outcome
 from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
-from coraldeal.net.servers import Servers
+from coraldeal.net.servers import ServerPool
 from coraldeal.net.unread import has_unread
-from coraldeal.net.wire import read_list
+from coraldeal.net.wire import parse_server_list
 from coraldeal.operator import OperatorFile, read_operator
 from tests.standins import Seen, StandIn, answer, entry, server_list, until
 
@@ -121,19 +121,19 @@
         self.server = await StandIn().start()
         self.addCleanup(self.server.stop)
         self.ages = ConnectionAges(8 * SECOND, 0.01)
-        listed = read_list(server_list(1, True, entry("s", self.server.address)), 0).servers
-        self.servers = Servers(
+        listed = parse_server_list(server_list(1, True, entry("s", self.server.address)), 0).servers
+        self.servers = ServerPool(
             clock, 8 * SECOND, SECOND, lambda: None, lambda server: True, Figures(()), self.ages
         )
         self.addAsyncCleanup(self.servers.close)
-        self.servers.learn(listed)
+        self.servers.update_endpoints(listed)
         self.head = b"POST /x HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n"
 
     async def attempt(self, careful: bool = False) -> Outcome:
-        return (await self.servers.attempt("s", self.head, SECOND, careful=careful)).outcome
+        return (await self.servers.attempt("s", self.head, SECOND, not_idempotent=careful)).outcome
 
     async def test_careful_attempt_avoids_connections_that_may_be_closing(self) -> None:
-        periods = self.servers.targets["s"].rests
+        periods = self.servers.endpoints["s"].idle_periods
         assert periods is not None
         for _ in range(40):
             self.ages.record(periods, SECOND // 20, True, clock())
@@ -160,7 +160,7 @@
         for end in ends:
             self.server.play = close
             self.assertIs(await self.attempt(), Outcome.SERVED)
-            (connection,) = self.servers.targets["s"].idle
+            (connection,) = self.servers.endpoints["s"].idle
             await asyncio.sleep(0.015)
             assert connection.transport is not None
             # The event loop has not read yet when the next attempt starts.
@@ -169,7 +169,7 @@
             await asyncio.sleep(0.005)
             self.assertTrue(has_unread(connection.transport))
             self.assertIs(await self.attempt(), Outcome.SERVED)
-            for left in list(self.servers.targets["s"].idle):
+            for left in list(self.servers.endpoints["s"].idle):
                 left.drop()
 
     async def test_closes_of_idle_connections_are_recorded(self) -> None:
@@ -182,14 +182,14 @@
         for number in range(12):
             self.assertIs(await self.attempt(), Outcome.SERVED)
             await until(lambda number=number: self.server.closed == number + 1)  # type: ignore[misc]
-            await until(lambda: not self.servers.targets["s"].idle)
-        periods = self.servers.targets["s"].rests
+            await until(lambda: not self.servers.endpoints["s"].idle)
+        periods = self.servers.endpoints["s"].idle_periods
         assert periods is not None
         self.assertEqual(sum(periods.closed), 12)
         self.assertLess(self.ages.safe_age(periods), SECOND // 20)
 
     async def test_connection_older_than_the_limit_is_closed(self) -> None:
-        self.servers.oldest = 0.05
+        self.servers.max_age = 0.05
         await self.attempt()
         await asyncio.sleep(0.06)
         await self.attempt()
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -31,9 +31,9 @@
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.figures import Figures
 from coraldeal.net.host import clock
-from coraldeal.net.servers import Connection, Servers
+from coraldeal.net.servers import Connection, ServerPool
 from coraldeal.net.unread import has_left
-from coraldeal.net.wire import AttemptEnd, Call, Listed, Objects, read_list
+from coraldeal.net.wire import AttemptEnd, CallerRequest, JsonObjectStream, ListEntry, parse_server_list
 from tests.standins import (
     CHUNKED_HEAD,
     SETTINGS,
@@ -82,12 +82,12 @@
         second = {"e": "é\t"}
         text = indented(first) + b"\n\n" + json.dumps(second).encode() + json.dumps({}).encode() + b"\n"
         for size in range(1, len(text) + 1):
-            objects = Objects()
+            objects = JsonObjectStream()
             whole = [o for at in range(0, len(text), size) for o in objects.feed(text[at : at + size])]
             self.assertEqual([json.loads(one) for one in whole], [first, second, {}])
         for bad in (b"x", b"[]", b"  \n}", b"{} nonsense"):
             with self.subTest(bad=bad), self.assertRaises(ValueError):
-                list(Objects().feed(bad))
+                list(JsonObjectStream().feed(bad))
 
     async def test_an_indented_list_is_read_and_so_is_what_follows(self) -> None:
         new, other = await self.stand_in(), await self.stand_in()
@@ -117,7 +117,10 @@
             ("within an object", watch(line, b'{"generation": 3,')),
             ("that dribbles", dribbles),
         ):
-            with self.subTest(name), mock.patch.multiple(discovery_module, SILENCE=0.2, ANSWER_WAIT=0.2):
+            with (
+                self.subTest(name),
+                mock.patch.multiple(discovery_module, LIVENESS_TIMEOUT=0.2, ANSWER_TIMEOUT=0.2),
+            ):
                 _, discovery = await self.watched(play, rules=self.rules)
                 await until(lambda d=discovery: len(d.seen) >= 3, 3.0)  # type: ignore[misc]
                 self.assertIn("after=", discovery.seen[2].line)
@@ -140,14 +143,14 @@
                 await left.pop(0)(seen, reader, writer)
 
             stand_in = await self.stand_in(play)
-            read = partial(read_list, offset_us=0)
+            read = partial(parse_server_list, offset_us=0)
             Discovery(stand_in.address, read, mock.Mock(), told.set).follow()
             await asyncio.wait_for(told.wait(), 10)
             return len(stand_in.seen)
 
         # Far apart, so that a busy machine confuses none of them.
         with mock.patch.multiple(
-            discovery_module, SILENCE=0.4, ANSWER_WAIT=1.6, WAITED_LONG=0.4, FURTHER_AFTER=1.6
+            discovery_module, LIVENESS_TIMEOUT=0.4, ANSWER_TIMEOUT=1.6, WAITED_LONG=0.4, FURTHER_AFTER=1.6
         ):
             made = await asyncio.gather(
                 calls(first, late, late, refuse),
@@ -185,17 +188,17 @@
         for _ in range(200):
             balancer.list_failed()
         module = max(waits) / 1e6
-        pushed = node_module.REWATCH_MOST * 1.5
+        pushed = node_module.MAX_REWATCH_DELAY * 1.5
         # What discovery may keep a call waiting before it fails it, and what an answer may take, with this
         # node's own work for it.
         queue, reply = 3.0, 0.3
-        silence, hang = discovery_module.SILENCE, discovery_module.ANSWER_WAIT
+        silence, hang = discovery_module.LIVENESS_TIMEOUT, discovery_module.ANSWER_TIMEOUT
         self.assertGreater(hang, queue)
         # Lines come every 2 s.
         self.assertGreater(silence, 2.4)
         for wait in (module, pushed):
             for path in (
-                silence + discovery_module.CONNECT_WAIT + wait,
+                silence + discovery_module.CONNECT_TIMEOUT + wait,
                 silence + hang,
                 silence + queue,
                 wait + hang,
@@ -215,7 +218,7 @@
             writer.write(chunked(json.dumps(server_list(3, False)).encode()))
             await reader.read()
 
-        with mock.patch.object(discovery_module, "SILENCE", 0.3):
+        with mock.patch.object(discovery_module, "LIVENESS_TIMEOUT", 0.3):
             node, discovery = await self.watched(more, rules=self.rules)
             await until(lambda: node.node.discovery.version == 2)
             point.go.set()
@@ -235,7 +238,7 @@
                 await asyncio.sleep(0.1)
             await reader.read()
 
-        with mock.patch.multiple(discovery_module, SILENCE=0.3, ANSWER_WAIT=0.3):
+        with mock.patch.multiple(discovery_module, LIVENESS_TIMEOUT=0.3, ANSWER_TIMEOUT=0.3):
             node, discovery = await self.watched(slowly, rules=self.rules)
             await until(lambda: node.node.discovery.version == 2)
         self.assertEqual(len(discovery.seen), 1)
@@ -254,7 +257,7 @@
         async def beats(seen: Seen, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await watch(line, then=lambda: self.drip(writer, blanks))(seen, reader, writer)
 
-        with mock.patch.object(discovery_module, "SILENCE", 0.3):
+        with mock.patch.object(discovery_module, "LIVENESS_TIMEOUT", 0.3):
             node, discovery = await self.watched(beats, rules=self.rules)
             await until(lambda: discovery.closed == 1)
         self.assertEqual(len(discovery.seen), 1)
@@ -276,13 +279,13 @@
             for _ in range(60):
                 running.node._list_failed()
         # 1.5 s, less a connection that does not come up, and not all nodes in step.
-        self.assertLess(max(waits) + discovery_module.CONNECT_WAIT, 1.3)
+        self.assertLess(max(waits) + discovery_module.CONNECT_TIMEOUT, 1.3)
         self.assertGreater(max(waits) - min(waits), 0.1)
 
     async def test_what_cannot_be_read_is_told_once_with_what_and_where(self) -> None:
         bad = b'{"generation": 7, "reset": true, "instances": [{"instanceId": "s0"}]}'
         with (
-            mock.patch.object(node_module, "REWATCH_LEAST", 0.01),
+            mock.patch.object(node_module, "MIN_REWATCH_DELAY", 0.01),
             self.assertLogs("coraldeal.net.discovery", "INFO") as logs,
         ):
             node, discovery = await self.watched(watch(bad), pushed=True)
@@ -303,7 +306,7 @@
             async def play(seen: Seen, reader: Any, writer: Any, plays: list[Played] = plays) -> None:
                 await plays.pop(0)(seen, reader, writer)
 
-            with self.subTest(name), mock.patch.object(wire, "OBJECT_MOST", 1000):
+            with self.subTest(name), mock.patch.object(wire, "MAX_OBJECT_BYTES", 1000):
                 node, discovery = await self.watched(play, pushed=True)
                 await until(lambda d=discovery: len(d.seen) == 2)  # type: ignore[misc]
                 self.assertEqual(list(node.node.balancer.servers), [])
@@ -328,7 +331,7 @@
     async def test_an_object_without_end_is_not_kept_for_good(self) -> None:
         line = json.dumps(server_list(2, False)).encode() + b"\n"
         with (
-            mock.patch.object(wire, "OBJECT_MOST", 1000),
+            mock.patch.object(wire, "MAX_OBJECT_BYTES", 1000),
             self.assertLogs("coraldeal.net.discovery", "INFO") as logs,
         ):
             _, discovery = await self.watched(watch(line, b"{" + b" " * 2000), pushed=True)
@@ -513,8 +516,8 @@
                 self.assertEqual(ended.call_count, 1)
                 # Kept for the next attempt, or closed where not all of the answer was read.
                 kept = 0 if large else 1
-                await until(lambda r=running, kept=kept: r.node.servers.open == kept)  # type: ignore[misc]
-                self.assertEqual(len(running.node.servers.targets["s0"].idle), kept)
+                await until(lambda r=running, kept=kept: r.node.servers.open_connections == kept)  # type: ignore[misc]
+                self.assertEqual(len(running.node.servers.endpoints["s0"].idle), kept)
 
     async def test_behind_requests_that_wait_their_turn_too(self) -> None:
         """So many that nothing more is read: what stands in the line of a client that left goes nowhere."""
@@ -547,12 +550,12 @@
     """A connection to a server that ends, or changes hands, as an attempt begins or ends on it."""
 
     async def asyncSetUp(self) -> None:
-        self.servers = Servers(clock, 3_000_000, 1_000_000, lambda: None, lambda server: True, Figures(()))
+        self.servers = ServerPool(clock, 3_000_000, 1_000_000, lambda: None, lambda server: True, Figures(()))
         self.addAsyncCleanup(self.servers.close)
 
     def learn(self, stand_in: StandIn, name: str = "s") -> None:
         entry = Entry(name, "z", 0, Condition.READY, 0)
-        self.servers.learn([Listed(entry, stand_in.address)])
+        self.servers.update_endpoints([ListEntry(entry, stand_in.address)])
 
     async def attempt(self, **told: Any) -> AttemptEnd:
         return await self.servers.attempt("s", GET, 5_000_000, **told)
@@ -573,19 +576,19 @@
         ]
         for number, end in enumerate(ends):
             with self.subTest(number):
-                self.assertIs((await self.attempt(careful=True)).outcome, Outcome.SERVED)
-                (connection,) = self.servers.targets["s"].idle
+                self.assertIs((await self.attempt(not_idempotent=True)).outcome, Outcome.SERVED)
+                (connection,) = self.servers.endpoints["s"].idle
                 await asyncio.sleep(0.015)
                 assert connection.transport is not None
                 # The loop has not looked yet when the next attempt begins.
                 connection.transport.pause_reading()
                 end(writers[-1])
                 await asyncio.sleep(0.005)
-                attempt = await self.attempt(careful=True)
+                attempt = await self.attempt(not_idempotent=True)
                 assert attempt.answer is not None
                 self.assertEqual((attempt.outcome, attempt.answer.body), (Outcome.SERVED, b"done"))
                 self.assertEqual((server.opened, len(server.seen)), (2 * number + 2, 2 * number + 2))
-                for left in list(self.servers.targets["s"].idle):
+                for left in list(self.servers.endpoints["s"].idle):
                     left.drop()
 
     async def test_a_server_that_moved_while_its_connection_came_up_gets_nothing_there(self) -> None:
@@ -642,7 +645,7 @@
                         changes.append(entry("new", old.address))
                     else:
                         changes.append(entry("s0", old.address, told))
-                    node.take_list(read_list(server_list(2, False, *changes), 0))
+                    node.apply_list(parse_server_list(server_list(2, False, *changes), 0))
                     if told == "replaced":
                         node.balancer.start_maintenance("new")
                     point.go.set()
@@ -658,21 +661,21 @@
         server = await self.stand_in(early)
         self.learn(server)
         body = Body(Pieces(b"01", ends=False), 0, Progress())  # type: ignore[arg-type]
-        call = Call("1", "read", None, None, False, GET[:-2], b"", rest=body, length=10)
+        call = CallerRequest("1", "read", None, None, False, GET[:-2], b"", body_stream=body, length=10)
 
         def stop(*told: Any) -> Any:
             attempt.cancel()
             return read(*told)
 
-        read = wire.read_answer
-        with mock.patch.object(servers_module, "read_answer", stop):
+        read = wire.parse_answer
+        with mock.patch.object(servers_module, "parse_answer", stop):
             attempt = asyncio.create_task(
-                self.servers.attempt("s", GET, 5_000_000, call=call, on_body_sent=lambda: None)
+                self.servers.attempt("s", GET, 5_000_000, request=call, on_body_sent=lambda: None)
             )
             (end,) = await asyncio.gather(attempt, return_exceptions=True)
         self.assertIsInstance(end, asyncio.CancelledError)
         await until(lambda: server.closed == 1)
-        self.assertEqual((self.servers.open, self.servers.connecting), (0, 0))
+        self.assertEqual((self.servers.open_connections, self.servers.connecting), (0, 0))
 
     async def test_a_reset_behind_a_bodys_last_byte_may_have_run(self) -> None:
         """Also where who passes the body on has not been told yet that the last byte is out."""
@@ -686,14 +689,14 @@
         self.learn(server)
         body = Body(Pieces(b"0123456789"), 0, Progress())  # type: ignore[arg-type]
         head = b"POST /read/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 10\r\n\r\n"
-        call = Call("1", "read", None, None, False, head, b"", rest=body, length=10)
+        call = CallerRequest("1", "read", None, None, False, head, b"", body_stream=body, length=10)
 
         async def drain(connection: Connection) -> None:
             if body.read_in_all == 10:
                 await drained.stop()
 
         with mock.patch.object(Connection, "_drain_helper", drain):
-            end = await self.servers.attempt("s", head, 5_000_000, call=call, on_body_sent=lambda: None)
+            end = await self.servers.attempt("s", head, 5_000_000, request=call, on_body_sent=lambda: None)
         self.assertEqual([seen.body for seen in server.seen], [b"0123456789"])
         self.assertIs(end.outcome, Outcome.RESET)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -87,16 +87,16 @@
         self.assertEqual(
             (newcomer.balancer.servers["s0"].concurrency_limit, newcomer.discovery.version), (7, 4)
         )
-        self.assertEqual((elder.part, newcomer.part), (0.5, 0.5))
+        self.assertEqual((elder.share, newcomer.share), (0.5, 0.5))
         self.assertLessEqual(elder.limit + newcomer.limit + 2 * elder.reserve, elder.config.sockets)
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
         self.assertEqual((newcomer.figures.attempts, elder.figures.attempts), (1, 0))
         # What either door is told holds for both.
-        assert newcomer.door is not None and elder.door is not None
-        self.assertTrue(elder.door.desk.put_back("s1"))
-        self.assertTrue(newcomer.door.desk.leave_out("s0"))
+        assert newcomer.admin_listener is not None and elder.admin_listener is not None
+        self.assertTrue(elder.admin_listener.desk.put_back("s1"))
+        self.assertTrue(newcomer.admin_listener.desk.leave_out("s0"))
         await until(
             lambda: "s0" in elder.balancer.in_maintenance and "s1" not in newcomer.balancer.in_maintenance
         )
@@ -107,11 +107,11 @@
         self.assertEqual((await kept.ask("read"))[0], 200)
         newcomer = (await self.start(known=False)).node
         await until(lambda: running.node.callers.listener is None)
-        running.node.ending.set()
+        running.node.stop_requested.set()
         status, seen = await kept.ask("read")
         self.assertEqual((status, seen.fields["connection"]), (200, "close"))
         await running.task
-        await until(lambda: newcomer.part == 1.0)
+        await until(lambda: newcomer.share == 1.0)
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
@@ -127,7 +127,7 @@
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
-        self.assertEqual((elder.figures.attempts, elder.part), (1, 1.0))
+        self.assertEqual((elder.figures.attempts, elder.share), (1, 1.0))
         # And the next one finds it.
         third = (await self.start(known=False)).node
         self.assertIn("s0", third.balancer.servers)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -189,7 +189,7 @@
         node = await self.node(await self.stand_in())
         caller = await node.caller()
         with (
-            mock.patch("coraldeal.net.servers.read_answer", side_effect=KeyError("bug")),
+            mock.patch("coraldeal.net.servers.parse_answer", side_effect=KeyError("bug")),
             self.assertLogs("coraldeal.net.inquiry", "ERROR"),
         ):
             self.assertEqual((await caller.ask())[0], 500)
@@ -273,13 +273,13 @@
         longer = {"expected_time_ns": 4 * 10**9, "patience_ns": 9 * 10**9}
         tracks = [{**track, **longer} for track in SETTINGS["tracks"]]
         server = await self.stand_in(never_answer)
-        with mock.patch("coraldeal.net.node.END_PATIENCE", 0.1):
+        with mock.patch("coraldeal.net.node.MAX_DRAIN_DEADLINE", 0.1):
             running = await self.node(server, tracks=tracks)
             caller = await running.caller()
             caller.send("write", b"x", "9000m")
             await until(lambda: len(server.seen) == 1)
             began = clock()
-            running.node.ending.set()
+            running.node.stop_requested.set()
             self.assertGreaterEqual((await caller.answer())[0], 500)
             self.assertLess(clock() - began, 800_000)
             self.assertEqual(await caller.at_end(), b"")
@@ -301,7 +301,7 @@
         more = [await node.caller() for _ in range(60)]
         for caller in more:
             self.assertEqual((await caller.ask())[0], 200)
-        await until(lambda: node.node.callers.held + node.node.servers.held <= 105)
+        await until(lambda: node.node.callers.held + node.node.servers.descriptors_in_use <= 105)
         self.assertEqual(await callers[0].at_end(), b"")
 
     async def test_callers_that_send_nothing_cannot_use_up_the_reserve(self) -> None:
@@ -379,7 +379,7 @@
 
     async def test_silence_is_a_dead_watch(self) -> None:
         discovery = await self.discovery(server_list(2, False))
-        with mock.patch.object(discovery_module, "SILENCE", 0.1):
+        with mock.patch.object(discovery_module, "LIVENESS_TIMEOUT", 0.1):
             await self.node(await self.stand_in(), discovery=discovery.address)
             await until(lambda: len(discovery.seen) >= 2)
         self.assertIn("after=2", discovery.seen[1].line)
@@ -422,7 +422,7 @@
         await until(lambda: len(first.seen) == 1)
         anew = [SettingsError("setting seed is not text"), replace(node.told, discovery=second.address)]
         with (
-            mock.patch.object(node.node, "read_anew", side_effect=anew),
+            mock.patch.object(node.node, "load_config", side_effect=anew),
             self.assertLogs("coraldeal.net.node", "INFO") as logs,
         ):
             os.kill(os.getpid(), signal.SIGHUP)
@@ -437,7 +437,7 @@
 
     async def test_a_list_that_is_pushed_is_watched_from_the_start_and_again(self) -> None:
         discovery = await self.discovery(server_list(2, False), hold=False)
-        with mock.patch("coraldeal.net.node.REWATCH_LEAST", 0.01):
+        with mock.patch("coraldeal.net.node.MIN_REWATCH_DELAY", 0.01):
             node = await self.node(await self.stand_in(), discovery=discovery.address, pushed=True)
             await until(lambda: len(discovery.seen) >= 3)
         self.assertEqual(node.node.balancer.list_wait, 0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,7 +19,7 @@
 from coraldeal.net import discovery as discovery_module
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.node import Node
-from coraldeal.net.wire import ServerList, read_list
+from coraldeal.net.wire import ServerList, parse_server_list
 from coraldeal.operator import ListsTable, OperatorFile, RelayTable, read_operator
 from coraldeal.relay import link as link_module
 from coraldeal.relay import server as server_module
@@ -322,7 +322,7 @@
             source = await self.start_source()
             with (
                 self.subTest(name),
-                mock.patch("coraldeal.net.wire.OBJECT_MOST", 2000),
+                mock.patch("coraldeal.net.wire.MAX_OBJECT_BYTES", 2000),
                 self.assertLogs("coraldeal.relay.link", "WARNING") as logs,
             ):
                 relay = await self.start_ready_relay(source.stand_in.address)
@@ -454,13 +454,13 @@
             ("silent", watch(snapshot)),
             ("ended", watch(snapshot, then=lambda: asyncio.sleep(0))),
         ):
-            with self.subTest(name), mock.patch.object(discovery_module, "SILENCE", 0.3):
+            with self.subTest(name), mock.patch.object(discovery_module, "LIVENESS_TIMEOUT", 0.3):
                 faulty = await self.stand_in(respond)
                 lists: list[ServerList] = []
                 failures: list[int] = []
                 discovery = Discovery(
                     None,
-                    lambda text: read_list(text, 0),
+                    lambda text: parse_server_list(text, 0),
                     lists.append,
                     lambda: failures.append(1),  # noqa: B023
                     ("a",),
@@ -473,7 +473,7 @@
                 await until(lambda: len(good.followers) == 1)
                 source.change(service_entry("a", "a1", "Terminating"))
                 await until(lambda received=lists: len(received) == 2)  # type: ignore[misc]
-                self.assertEqual((lists[1].whole, failures), (False, []))
+                self.assertEqual((lists[1].is_snapshot, failures), (False, []))
                 await discovery.close()
                 await until(lambda: not good.followers)
                 source.generation -= 1
@@ -482,12 +482,16 @@
     async def test_failure_of_all_sources_is_reported_and_each_node_has_its_own_order(self) -> None:
         failed = asyncio.Event()
         addresses = [f"127.0.0.1:{port}" for port in (1, 2, 3)]
-        with mock.patch.object(discovery_module, "GO_ON_WITHIN", 0.01):
-            discovery = Discovery(None, lambda t: read_list(t, 0), print, failed.set, (), addresses, "7")
+        with mock.patch.object(discovery_module, "MAX_SOURCE_SWITCH_DELAY", 0.01):
+            discovery = Discovery(
+                None, lambda t: parse_server_list(t, 0), print, failed.set, (), addresses, "7"
+            )
             discovery.follow()
             await asyncio.wait_for(failed.wait(), 3)
         first_addresses = {
-            Discovery(None, lambda t: read_list(t, 0), print, print, (), addresses, str(seed)).address: None
+            Discovery(
+                None, lambda t: parse_server_list(t, 0), print, print, (), addresses, str(seed)
+            ).address: None
             for seed in range(40)
         }
         self.assertEqual(sorted(map(str, first_addresses)), addresses)
