--- a/coraldeal/benchlink/link.py
+++ b/coraldeal/benchlink/link.py
@@ -14,7 +14,7 @@
 from coraldeal.balance import Balancer
 from coraldeal.config import SettingsError, read_settings
 from coraldeal.interface import Condition, Entry, ListKind, Outcome, PeerMessage
-from coraldeal.notes import pack, unpack
+from coraldeal.peer_messages import decode_message, encode_message
 
 OUTCOMES = {
     "10": Outcome.SERVED,
@@ -66,7 +66,7 @@
 
     def send_to_peer(self, peer: int, message: PeerMessage) -> None:
         """Append the action `share`."""
-        self.actions.append(f"share\t{peer}\t{pack(message).hex()}")
+        self.actions.append(f"share\t{peer}\t{encode_message(message).hex()}")
 
     def wake(self, token: str, after_us: int) -> None:
         """Append the action `schedule`."""
@@ -260,7 +260,7 @@
     def inbox(self, text: str) -> None:
         """Pass a peer message to the balancer; an unreadable one is ignored."""
         peer, payload = self._split_fields(text, 2)
-        message = unpack(b"" if payload == "-" else bytes.fromhex(payload))
+        message = decode_message(b"" if payload == "-" else bytes.fromhex(payload))
         if message is None:
             # Ignored: its sender may run another version of the program.
             if not self.unreadable_logged:
--- a/coraldeal/net/admin_interface.py
+++ b/coraldeal/net/admin_interface.py
@@ -34,14 +34,17 @@
         peer_transport = node.host.peer_transport
         message_counts = {}
         if peer_transport is not None:
-            ignored = peer_transport.unreadable + peer_transport.unknown
+            ignored = peer_transport.invalid + peer_transport.unknown
             message_counts = {"notes_passed_over": ignored, "notes_unsent": peer_transport.unsent}
         listener = node.callers.listener
         shortages = 0 if listener is None else listener.shortages
         discovery = node.discovery
         list_calls = {}
-        if discovery.failed_in_all:
-            list_calls = {"list_calls": discovery.made, "list_calls_failed": discovery.failed_in_all}
+        if discovery.total_failed_calls:
+            list_calls = {
+                "list_calls": discovery.total_calls,
+                "list_calls_failed": discovery.total_failed_calls,
+            }
         return {
             **message_counts,
             **list_calls,
--- a/coraldeal/net/bodies.py
+++ b/coraldeal/net/bodies.py
@@ -12,7 +12,7 @@
 from aiohttp.http import HttpProcessingError
 from aiohttp.streams import StreamReader
 
-from coraldeal.net.wire import BODY_MOST, BadCall
+from coraldeal.net.wire import STREAMING_THRESHOLD, InvalidRequestError
 
 # A sender or receiver may pause for this many seconds, and must transfer this many bytes a second beyond
 # that allowance.
@@ -99,7 +99,9 @@
             except TimeoutError:
                 self.late_progress = Progress()
         self.late_progress.grace = (
-            GRACE_SECONDS if max(self.content_length, self.bytes_received) > BODY_MOST else LATE_GRACE_SECONDS
+            GRACE_SECONDS
+            if max(self.content_length, self.bytes_received) > STREAMING_THRESHOLD
+            else LATE_GRACE_SECONDS
         )
         try:
             piece = await self.late_progress.wait_for(read())
@@ -138,7 +140,7 @@
         # Whether the last byte was passed to a server's connection.
         self.is_sent = False
         # Why the body ended early, if the caller caused that.
-        self.caller_error: BadCall | None = None
+        self.caller_error: InvalidRequestError | None = None
 
     async def read(self) -> bytes:
         """Return the next piece, empty at the end.
@@ -148,16 +150,16 @@
         self.is_started = True
         try:
             piece = await read_piece(self.content, self.progress)
-        except BadCall as error:
+        except InvalidRequestError as error:
             self.caller_error = error
             raise
         except ConnectionError:
             # As a ConnectionError it would be counted as a failure of the server.
-            self.caller_error = BadCall(400, "the caller disconnected before the end of the body")
+            self.caller_error = InvalidRequestError(400, "the caller disconnected before the end of the body")
             raise self.caller_error from None
         self.bytes_read += len(piece)
         if self.bytes_read > MAX_BODY_BYTES:
-            self.caller_error = BadCall(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
+            self.caller_error = InvalidRequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
             raise self.caller_error
         return piece
 
@@ -167,8 +169,8 @@
     try:
         piece = await progress.wait_for(content.readany())
     except TimeoutError:
-        raise BadCall(408, "the body was not received in time") from None
+        raise InvalidRequestError(408, "the body was not received in time") from None
     except (web.RequestPayloadError, HttpProcessingError):
-        raise BadCall(400, "the body is malformed") from None
+        raise InvalidRequestError(400, "the body is malformed") from None
     progress.bytes_done += len(piece)
     return piece
--- a/coraldeal/net/callers.py
+++ b/coraldeal/net/callers.py
@@ -33,9 +33,17 @@
 )
 from coraldeal.net.counters import Counters
 from coraldeal.net.listening import open_listening_socket
-from coraldeal.net.servers import Rest, Spoilt
+from coraldeal.net.servers import AnswerStream, MalformedAnswerError
 from coraldeal.net.unread import has_disconnected, has_unread, is_readable
-from coraldeal.net.wire import BODY_MOST, READY_PATH, Answer, BadCall, Call, read_call, track_of
+from coraldeal.net.wire import (
+    READY_PATH,
+    STREAMING_THRESHOLD,
+    Answer,
+    CallerRequest,
+    InvalidRequestError,
+    parse_request,
+    request_class_of,
+)
 
 log = logging.getLogger(__name__)
 
@@ -156,7 +164,7 @@
         task: asyncio.Task[None],
     ) -> web.BaseRequest:
         return web.BaseRequest(
-            message, payload, protocol, writer, task, self._loop, client_max_size=BODY_MOST
+            message, payload, protocol, writer, task, self._loop, client_max_size=STREAMING_THRESHOLD
         )
 
 
@@ -166,7 +174,7 @@
     def __init__(
         self,
         deadlines_us: dict[str, int],
-        handle_inquiry: Callable[[Call, int, int, Callable[[], bool]], Awaitable[Answer]],
+        handle_inquiry: Callable[[CallerRequest, int, int, Callable[[], bool]], Awaitable[Answer]],
         is_ready: Callable[[], bool],
         is_at_limit: Callable[[], bool],
         make_room: Callable[[], None],
@@ -315,7 +323,7 @@
             return self._response(Answer(200 if self.is_ready() else 503))
         try:
             call = await self._read_call(request, connection)
-        except BadCall as error:
+        except InvalidRequestError as error:
             pairs = {
                 "request": request.headers.get("Req-Id", ""),
                 "status": error.status,
@@ -323,41 +331,48 @@
             }
             log.debug("request refused", extra={"pairs": pairs})
             self._count_refused(error.status)
-            class_name = track_of(request.raw_path)
+            class_name = request_class_of(request.raw_path)
             if class_name in self.deadlines_us:
                 self.counters.count_answer(class_name, error.status)
             headers = (("Content-Type", "text/plain"),)
             return self._response(Answer(error.status, f"{error}\n".encode(), headers), close=True)
-        if call.rest is not None:
+        if call.body_stream is not None:
             # At an early answer the caller may still be sending: an immediate close would discard the answer.
             connection._lingering_time = LINGER_SECONDS
         if self.is_at_limit():
             # Protects the limit on descriptors. Nothing was sent to a server, so a retry is harmless.
             pairs = {"request": call.request_id, "status": 503, "why": "descriptors are short"}
             log.debug("request refused", extra={"pairs": pairs})
-            self.counters.count_answer(call.track, 503)
+            self.counters.count_answer(call.request_class, 503)
             return self._response(Answer(503), close=True)
-        time_left_us = self.deadlines_us[call.track] if call.left_us is None else call.left_us
-        unread_us = 0 if call.rest else _unread_time_us(request)
+        time_left_us = (
+            self.deadlines_us[call.request_class] if call.time_left_us is None else call.time_left_us
+        )
+        unread_us = 0 if call.body_stream else _unread_time_us(request)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + (time_left_us - unread_us) / 1e6
         answer = await self.handle_inquiry(
             call, time_left_us, unread_us, lambda: not has_disconnected(request.transport)
         )
-        if answer.rest is not None:
+        if answer.body_stream is not None:
             # For a streamed body the time starts at its last byte, which was sent after `deadline` was set.
-            deadline = deadline if call.rest is None else loop.time() + time_left_us / 1e6
-            return await self._stream_answer(request, call, answer, answer.rest, deadline)
-        self.counters.count_answer(call.track, answer.status)
+            deadline = deadline if call.body_stream is None else loop.time() + time_left_us / 1e6
+            return await self._stream_answer(request, call, answer, answer.body_stream, deadline)
+        self.counters.count_answer(call.request_class, answer.status)
         # Pipelined requests of a client that has disconnected are dropped: each would cost a connection to a
         # server, for an answer that nobody receives.
         client_left = answer.status == 499 and has_disconnected(request.transport)
         return self._response(
-            answer, close=client_left or (call.rest is not None and not request.content.is_eof())
+            answer, close=client_left or (call.body_stream is not None and not request.content.is_eof())
         )
 
     async def _stream_answer(
-        self, request: web.BaseRequest, call: Call, answer: Answer, rest: Rest, deadline_at: float
+        self,
+        request: web.BaseRequest,
+        call: CallerRequest,
+        answer: Answer,
+        rest: AnswerStream,
+        deadline_at: float,
     ) -> web.StreamResponse:
         """Stream an answer to its caller. If it breaks off, its connection is cut, so that this shows."""
         response = web.StreamResponse(status=answer.status, headers=CIMultiDict(answer.headers))
@@ -385,7 +400,7 @@
             await progress.wait_for(response.write_eof())
             is_complete = True
             set_reset_on_close(request.transport, False)
-        except (Spoilt, TimeoutError) as error:
+        except (MalformedAnswerError, TimeoutError) as error:
             # The server broke off or does not finish, or the caller no longer reads.
             log.info("answer broken off", extra={"pairs": {"why": str(error) or "its caller is too slow"}})
         except ConnectionError:
@@ -396,10 +411,10 @@
             rest.close()
             if not is_complete and request.transport is not None:
                 request.transport.abort()
-            self.counters.count_answer(call.track, answer.status, is_complete)
+            self.counters.count_answer(call.request_class, answer.status, is_complete)
         return response
 
-    async def _read_call(self, request: web.BaseRequest, connection: _Connection) -> Call:
+    async def _read_call(self, request: web.BaseRequest, connection: _Connection) -> CallerRequest:
         """Return the request with its body, or with the buffered start of a large one.
 
         Raises BadCall if the request is malformed, too large or too slow. Its framing must be unambiguous, or
@@ -407,13 +422,13 @@
         """
         message, headers = request._message, request.headers
         if message.version not in (HttpVersion10, HttpVersion11) or message.upgrade:
-            raise BadCall(400, "only HTTP/1.0 and HTTP/1.1 without upgrades are supported")
+            raise InvalidRequestError(400, "only HTTP/1.0 and HTTP/1.1 without upgrades are supported")
         if any(len(headers.getall(name, ())) > 1 for name in UNIQUE_HEADERS):
-            raise BadCall(400, "a header that may appear only once appears more than once")
+            raise InvalidRequestError(400, "a header that may appear only once appears more than once")
         if headers.get("Transfer-Encoding", "chunked").lower() != "chunked":
-            raise BadCall(400, "Transfer-Encoding is not chunked")
+            raise InvalidRequestError(400, "Transfer-Encoding is not chunked")
         if (request.content_length or 0) > MAX_BODY_BYTES:
-            raise BadCall(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
+            raise InvalidRequestError(413, f"the body is longer than {MAX_BODY_BYTES} bytes")
         if headers.get("Expect", "").lower() == "100-continue" and request.transport is not None:
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
         body, rest = bytearray(), None
@@ -424,15 +439,15 @@
                 connection.buffered_bytes += len(piece)
                 self.buffered_bytes += len(piece)
                 if len(body) > (
-                    MAX_BUFFERED_BODY if self.buffered_bytes <= MAX_BUFFERED_TOTAL else BODY_MOST
+                    MAX_BUFFERED_BODY if self.buffered_bytes <= MAX_BUFFERED_TOTAL else STREAMING_THRESHOLD
                 ):
                     rest = StreamedBody(request.content, len(body), progress)
                     break
         raw = request.raw_headers
         # Under the current settings: a request whose body was still being received when they changed was not
         # accepted before.
-        call = read_call(request.method, request.raw_path, headers, raw, bytes(body), self.deadlines_us)
-        return call if rest is None else replace(call, rest=rest, length=request.content_length)
+        call = parse_request(request.method, request.raw_path, headers, raw, bytes(body), self.deadlines_us)
+        return call if rest is None else replace(call, body_stream=rest, length=request.content_length)
 
     def _count_refused(self, status: int) -> None:
         """Count a request that was refused unread, and log the counts from time to time."""
--- a/coraldeal/net/handover.py
+++ b/coraldeal/net/handover.py
@@ -8,7 +8,7 @@
 from coraldeal.handover.link import HandoverLink
 from coraldeal.handover.state import learned, resume
 from coraldeal.interface import Condition, Entry, ListKind
-from coraldeal.net.wire import Listed, ServerList
+from coraldeal.net.wire import ListEntry, ServerList
 
 if TYPE_CHECKING:
     from coraldeal.net.node import Node
@@ -43,7 +43,7 @@
         try:
             stored = state["list"]
             servers = [
-                Listed(
+                ListEntry(
                     Entry(
                         str(name),
                         str(zone),
@@ -58,7 +58,7 @@
             ]
             server_list = ServerList(int(stored["version"]), True, servers)
             self.node.discovery.version = server_list.version
-            self.node.take_list(server_list, ListKind.REMEMBERED)
+            self.node.apply_list(server_list, ListKind.REMEMBERED)
             resume(self.node.balancer, state["learned"])
         except (LookupError, TypeError, ValueError, AttributeError) as error:
             log.warning("begun without the elder's state", extra={"pairs": {"why": repr(error)}})
@@ -68,7 +68,7 @@
     def export_state(self) -> dict[str, Any]:
         """Return the server list and what the node has learned, as values that JSON can hold."""
         node = self.node
-        addresses = {name: target.address for name, target in node.servers.targets.items()}
+        addresses = {name: target.address for name, target in node.servers.endpoints.items()}
         servers = [
             (
                 e.server,
@@ -106,4 +106,4 @@
 
     def set_share(self, share: float) -> None:
         """Keep to this share of the node's limits."""
-        self.node.take_part(share)
+        self.node.set_share(share)
--- a/coraldeal/net/host.py
+++ b/coraldeal/net/host.py
@@ -15,10 +15,10 @@
 from coraldeal.interface import InquiryId, PeerMessage, ServerId
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.inquiry import Inquiries, Send
-from coraldeal.net.wire import Answer, deferral, failure
+from coraldeal.net.wire import Answer, failure, rejection
 
 if TYPE_CHECKING:
-    from coraldeal.net.carrier import Carrier
+    from coraldeal.net.peer_transport import PeerTransport
 
 log = logging.getLogger("coraldeal.balance")
 
@@ -37,7 +37,7 @@
         self.discovery = discovery
         self.balancer: Balancer | None = None
         # Sends messages to other nodes; None if there are none.
-        self.peer_transport: Carrier | None = None
+        self.peer_transport: PeerTransport | None = None
 
     @property
     def now(self) -> int:
@@ -50,7 +50,7 @@
 
     def reject(self, inquiry: InquiryId, retry_after_us: int) -> None:
         """Have the inquiry's task answer 503, with Retry-After unless it is 0."""
-        self._pass_choice(inquiry, deferral(retry_after_us))
+        self._pass_choice(inquiry, rejection(retry_after_us))
 
     def fail(self, inquiry: InquiryId) -> None:
         """Have the inquiry's task answer 502."""
@@ -65,7 +65,7 @@
     def send_to_peer(self, peer: int, message: PeerMessage) -> None:
         """Send a message to another node, if messages between nodes are configured."""
         if self.peer_transport is not None:
-            self.peer_transport.tell(peer, message)
+            self.peer_transport.send(peer, message)
 
     def wake(self, token: str, after_us: int) -> None:
         """Set a timer that calls `Balancer.alarm` with this token."""
--- a/coraldeal/net/inquiry.py
+++ b/coraldeal/net/inquiry.py
@@ -10,8 +10,8 @@
 
 from coraldeal.balance import Balancer
 from coraldeal.interface import InquiryId, Outcome, ServerId
-from coraldeal.net.servers import Servers
-from coraldeal.net.wire import Answer, AttemptEnd, Call, failure
+from coraldeal.net.servers import ServerPool
+from coraldeal.net.wire import Answer, AttemptEnd, CallerRequest, failure
 
 log = logging.getLogger(__name__)
 
@@ -96,7 +96,7 @@
 class Inquiries:
     """All inquiries in progress."""
 
-    def __init__(self, servers: Servers) -> None:
+    def __init__(self, servers: ServerPool) -> None:
         self.servers = servers
         self.in_progress: dict[InquiryId, Inquiry] = {}
         # The callers' request ids of the inquiries in progress.
@@ -129,7 +129,7 @@
                     inquiry.timeout.reschedule(answer_by)
 
     async def handle_inquiry(
-        self, call: Call, time_left_us: int, unread_us: int, is_connected: Callable[[], bool]
+        self, call: CallerRequest, time_left_us: int, unread_us: int, is_connected: Callable[[], bool]
     ) -> Answer:
         """Return the final answer of one inquiry. The task is cancelled when the client disconnects.
 
@@ -156,7 +156,9 @@
             inquiry.deadline_us = self.servers.clock() + wait_us
             async with asyncio.timeout(wait_us / 1e6) as timeout:
                 inquiry.timeout = timeout
-                balancer.inquiry_arrived(inquiry_id, call.track, call.tenant, time_left_us, call.repeat)
+                balancer.inquiry_arrived(
+                    inquiry_id, call.request_class, call.tenant, time_left_us, call.is_retry
+                )
                 while True:
                     choice = await inquiry.choice
                     if isinstance(choice, Answer):
@@ -176,12 +178,12 @@
                         end = await asyncio.shield(inquiry.attempt_task)
                     inquiry.attempt_task = None
                     inquiry.choice = loop.create_future()
-                    if call.rest is not None and end.outcome is not Outcome.SERVED:
-                        if call.rest.caller_error is not None:
+                    if call.body_stream is not None and end.outcome is not Outcome.SERVED:
+                        if call.body_stream.caller_error is not None:
                             # The caller's error says nothing about the server.
                             self._report_attempt_end(inquiry, end, is_final=True)
-                            return Answer(call.rest.caller_error.status)
-                        if call.rest.is_started:
+                            return Answer(call.body_stream.caller_error.status)
+                        if call.body_stream.is_started:
                             # No further attempt can send the complete body.
                             balancer.body_not_replayable(inquiry_id)
                     if inquiry.client_left:
@@ -193,7 +195,8 @@
                         return end.answer
         except TimeoutError:
             log.warning(
-                "patience over unanswered", extra={"pairs": {"inquiry": inquiry_id, "track": call.track}}
+                "patience over unanswered",
+                extra={"pairs": {"inquiry": inquiry_id, "track": call.request_class}},
             )
             self._abandon(inquiry)
             return failure(504)
@@ -202,7 +205,9 @@
             raise
         except Exception:
             # A bug must not affect other inquiries, and this one needs an answer.
-            log.exception("inquiry failed", extra={"pairs": {"inquiry": inquiry_id, "track": call.track}})
+            log.exception(
+                "inquiry failed", extra={"pairs": {"inquiry": inquiry_id, "track": call.request_class}}
+            )
             self._abandon(inquiry)
             return failure(500)
         finally:
@@ -210,7 +215,7 @@
                 self._remove(inquiry)
 
     async def _attempt(
-        self, inquiry: Inquiry, call: Call, choice: Send, wait_us: int, timeout: asyncio.Timeout
+        self, inquiry: Inquiry, call: CallerRequest, choice: Send, wait_us: int, timeout: asyncio.Timeout
     ) -> AttemptEnd:
         """Run one attempt. If its body is streamed, timeouts start at the last byte of the body."""
         balancer = self.balancer
@@ -219,21 +224,21 @@
         def may_start() -> bool:
             return balancer.may_start_attempt(inquiry.id) and inquiry.start_attempt()
 
-        if call.rest is None:
+        if call.body_stream is None:
 
             def encode_message() -> bytes:
                 """Encode the message right before its first byte: the wait for a connection takes time."""
                 deadline_us = min(choice.chosen_at_us + choice.timeout_us, inquiry.deadline_us)
-                return call.written(deadline_us - self.servers.clock())
+                return call.encode_attempt(deadline_us - self.servers.clock())
 
             return await self.servers.attempt(
                 choice.server,
                 encode_message,
                 choice.timeout_us,
-                careful=call.track in self.not_idempotent_classes,
-                may_begin=may_start,
+                not_idempotent=call.request_class in self.not_idempotent_classes,
+                may_start=may_start,
             )
-        first_piece = call.written(min(choice.timeout_us, wait_us))
+        first_piece = call.encode_attempt(min(choice.timeout_us, wait_us))
         balancer.body_stream_started(inquiry.id)
         timeout.reschedule(None)
 
@@ -256,10 +261,10 @@
                 choice.server,
                 first_piece,
                 min(choice.timeout_us, wait_us),
-                call=call,
+                request=call,
                 on_body_sent=handle_body_sent,
-                careful=call.track in self.not_idempotent_classes,
-                may_begin=may_start,
+                not_idempotent=call.request_class in self.not_idempotent_classes,
+                may_start=may_start,
             )
         finally:
             if timeout.when() is None:
@@ -303,8 +308,8 @@
         self._remove(inquiry)
         if not task.cancelled() and task.exception() is None:
             answer = task.result().answer
-            if answer is not None and answer.rest is not None:
-                answer.rest.close()
+            if answer is not None and answer.body_stream is not None:
+                answer.body_stream.close()
         # A bug in the attempt was logged with its inquiry; the attempt must still stop counting as in flight.
         failed = task.cancelled() or task.exception() is not None
         self._report_attempt_end(
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -24,9 +24,9 @@
 from coraldeal.net.counters import Counters
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.host import clock
-from coraldeal.net.node import REWATCH_LEAST, REWATCH_MOST
-from coraldeal.net.servers import Servers
-from coraldeal.net.wire import ServerList, read_list
+from coraldeal.net.node import MAX_REWATCH_DELAY, MIN_REWATCH_DELAY
+from coraldeal.net.servers import ServerPool
+from coraldeal.net.wire import ServerList, parse_server_list
 from coraldeal.rig.scale import records
 from coraldeal.rig.scale.journal import decode_sequence
 from coraldeal.rig.scale.process import Process, open_orders, start
@@ -82,10 +82,10 @@
         # A planted fault: the server that this node keeps when it is gone; empty: none.
         self.retained_server = retained_server
         self.on_first_list: Callable[[], None] | None = on_first_list
-        self.rewatch_wait = REWATCH_LEAST
+        self.rewatch_wait = MIN_REWATCH_DELAY
         self.rewatch_timer: asyncio.TimerHandle | None = None
         self.wait_draws = 0
-        read = partial(read_list, offset_us=offset_us)
+        read = partial(parse_server_list, offset_us=offset_us)
         # A single address stands in the configuration; several are the `[lists]` of the operator's file.
         list_sources = job.addresses if len(job.addresses) > 1 else ()
         self.discovery = Discovery(
@@ -97,7 +97,7 @@
             list_sources,
             str(config.seed),
         )
-        self.servers = Servers(
+        self.servers = ServerPool(
             clock, config.conn_idle_us, config.connect_timeout_us, _nothing, self.may_send, Counters(())
         )
         self.balancer = Balancer(self, config.settings, config.seed)
@@ -112,9 +112,9 @@
                 if listed.entry.server != self.retained_server or listed.entry.condition is not Condition.GONE
             ])  # fmt: skip
         before = self.balancer.listed
-        lost = self.servers.learn(received.servers, received.whole)
-        self.rewatch_wait = REWATCH_LEAST
-        kind = ListKind.SNAPSHOT if received.whole else ListKind.CHANGES
+        lost = self.servers.update_endpoints(received.servers, received.is_snapshot)
+        self.rewatch_wait = MIN_REWATCH_DELAY
+        kind = ListKind.SNAPSHOT if received.is_snapshot else ListKind.CHANGES
         gone = [Entry(server, "", 0, Condition.GONE, 0) for server in lost]
         self.balancer.servers_listed(kind, gone + [listed.entry for listed in received.servers])
         self.record_list(received, before)
@@ -129,7 +129,7 @@
             self.rewatch_timer.cancel()
         wait = self.rewatch_wait * (0.5 + chance)
         self.rewatch_timer = self.loop.call_later(wait, self.discovery.follow)
-        self.rewatch_wait = min(2 * self.rewatch_wait, REWATCH_MOST)
+        self.rewatch_wait = min(2 * self.rewatch_wait, MAX_REWATCH_DELAY)
 
     def may_send(self, server: ServerId) -> bool:
         """Whether the decision module may send to this server."""
@@ -143,7 +143,7 @@
         Of a full list, only the servers whose state has changed are recorded; of the first list, none.
         """
         at_us = clock()
-        if received.whole:
+        if received.is_snapshot:
             self.records.full_lists.append((at_us, received.version))
         if self.on_first_list is not None:
             self.on_first_list()
@@ -151,7 +151,7 @@
             return
         for entry, _ in received.servers:
             held = self.balancer.listed.get(entry.server)
-            if received.whole and before.get(entry.server) == held:
+            if received.is_snapshot and before.get(entry.server) == held:
                 continue
             lifecycle = LIFECYCLES[Condition.GONE if held is None else held.condition]
             record = AppliedRecord(at_us, entry.server, lifecycle, decode_sequence((held or entry).size))
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -37,12 +37,12 @@
     RequestClass,
     Settings,
 )
-from coraldeal.net.carrier import Carrier
 from coraldeal.net.counters import Counters
 from coraldeal.net.host import clock
-from coraldeal.net.servers import Servers
-from coraldeal.net.wire import Listed, Objects, read_list
-from coraldeal.notes import pack
+from coraldeal.net.peer_transport import PeerTransport
+from coraldeal.net.servers import ServerPool
+from coraldeal.net.wire import JsonObjectStream, ListEntry, parse_server_list
+from coraldeal.peer_messages import encode_message
 from coraldeal.rig.clock import run as on_clock
 from coraldeal.rig.experiment import (
     Experiment,
@@ -144,10 +144,10 @@
     return Entry(f"server-{number}", f"zone-{number % ZONES}", number, condition, 0)
 
 
-def _listed(count: int) -> list[Listed]:
+def _listed(count: int) -> list[ListEntry]:
     """Entries of the list, each with its own address."""
     return [
-        Listed(_entry(number), f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080")
+        ListEntry(_entry(number), f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8080")
         for number in range(count)
     ]
 
@@ -257,7 +257,7 @@
         try:
             before = tracemalloc.get_traced_memory()[0]
             listed = _listed(count)
-            servers.learn(listed, whole=True)
+            servers.update_endpoints(listed, is_snapshot=True)
             balancer = Balancer(_StillHost(), _settings(), 7)
             balancer.servers_listed(ListKind.SNAPSHOT, [one.entry for one in listed])
             del listed
@@ -269,8 +269,8 @@
     return asyncio.run(held())
 
 
-def _servers() -> Servers:
-    return Servers(clock, 5 * SECOND, SECOND, lambda: None, lambda server: True, Counters(()))
+def _servers() -> ServerPool:
+    return ServerPool(clock, 5 * SECOND, SECOND, lambda: None, lambda server: True, Counters(()))
 
 
 def learn(count: int) -> float:
@@ -281,7 +281,7 @@
         costs = []
         for _ in range(REPEATS):
             servers = _servers()
-            costs.append(_cost_us(lambda fresh=servers: fresh.learn(listed, whole=True), 1))  # type: ignore[misc]
+            costs.append(_cost_us(lambda fresh=servers: fresh.update_endpoints(listed, is_snapshot=True), 1))  # type: ignore[misc]
             await servers.close()
             if costs[-1] > SECOND:
                 # A cost of more than a second needs no repeats to stand out from noise.
@@ -297,13 +297,13 @@
     async def measure() -> float:
         listed = _listed(count)
         servers = _servers()
-        servers.learn(listed, whole=True)
+        servers.update_endpoints(listed, is_snapshot=True)
         server, index = listed[count // 2], count // 2
         changes = [server._replace(entry=_entry(index, Condition.GONE))], [server]
 
         def remove_and_restore() -> None:
             for change in changes:
-                servers.learn(change)
+                servers.update_endpoints(change)
 
         cost = _cost_us(remove_and_restore, 4 * REPEATS) / 2
         await servers.close()
@@ -317,7 +317,7 @@
 
     async def measure() -> float:
         servers = _servers()
-        servers.learn(_listed(count), whole=True)
+        servers.update_endpoints(_listed(count), is_snapshot=True)
         cost = _cost_us(servers.close_one_idle, 4 * REPEATS)
         await servers.close()
         return cost
@@ -333,7 +333,7 @@
 def parse(count: int) -> float:
     """The processor time from the bytes of a full list to its entries: framing and reading."""
     text = json.dumps(_list_message(count)).encode()
-    return _cost_us(lambda: [read_list(message, 0) for message in Objects().feed(text)])
+    return _cost_us(lambda: [parse_server_list(message, 0) for message in JsonObjectStream().feed(text)])
 
 
 def parse_changes(count: int) -> float:
@@ -345,10 +345,10 @@
     ]
 
     def read() -> None:
-        objects = Objects()
+        objects = JsonObjectStream()
         for line in lines:
             for message in objects.feed(line):
-                read_list(message, 0)
+                parse_server_list(message, 0)
 
     return _cost_us(read)
 
@@ -416,12 +416,12 @@
 
     async def measure() -> float:
         nodes = (("127.0.0.1", _free_port()), ("127.0.0.1", _free_port()))
-        transport = Carrier(nodes, 0, lambda number, message: None)
+        transport = PeerTransport(nodes, 0, lambda number, message: None)
         await transport.open()
         message = PeerMessage(PeerMessageKind.ASK, 77, 3)
         started_ns = time.thread_time_ns()
         for _ in range(count):
-            transport.tell(1, message)
+            transport.send(1, message)
             await asyncio.sleep(0.001)
         cost = (time.thread_time_ns() - started_ns) / 1000
         transport.close()
@@ -448,14 +448,14 @@
             if received == count:
                 done.set()
 
-        transport = Carrier(nodes, 0, receive)
+        transport = PeerTransport(nodes, 0, receive)
         await transport.open()
 
         def send() -> None:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as peer:
                 peer.bind(nodes[1])
                 for _ in range(count):
-                    peer.sendto(pack(PeerMessage(PeerMessageKind.ASK, 77, 3)), nodes[0])
+                    peer.sendto(encode_message(PeerMessage(PeerMessageKind.ASK, 77, 3)), nodes[0])
                     time.sleep(0.001)
 
         thread = threading.Thread(target=send)
@@ -486,16 +486,18 @@
             listener.bind(("127.0.0.1", 0))
             listener.listen(2 * count)
             servers = _servers()
-            servers.learn([Listed(_entry(0), f"127.0.0.1:{listener.getsockname()[1]}")])
+            servers.update_endpoints([ListEntry(_entry(0), f"127.0.0.1:{listener.getsockname()[1]}")])
             tracemalloc.start()
             try:
                 before = tracemalloc.get_traced_memory()[0]
-                connections = [await servers._connect(servers.targets["server-0"]) for _ in range(count)]
+                connections = [await servers._connect(servers.endpoints["server-0"]) for _ in range(count)]
                 for connection in connections:
-                    connection.rest()
+                    connection.set_idle()
                 del connections, connection
-                if servers.held != count:
-                    raise ExperimentError(f"the node keeps {servers.held} of {count} idle connections")
+                if servers.descriptors_in_use != count:
+                    raise ExperimentError(
+                        f"the node keeps {servers.descriptors_in_use} of {count} idle connections"
+                    )
                 return float(tracemalloc.get_traced_memory()[0] - before)
             finally:
                 tracemalloc.stop()
--- a/coraldeal/rig/soak/planted.py
+++ b/coraldeal/rig/soak/planted.py
@@ -72,7 +72,7 @@
 
 def apply_lists_late() -> None:
     """Plant the fault that the node applies each list a second after it was received."""
-    take_list = node_module.Node.take_list
+    take_list = node_module.Node.apply_list
 
     def take_list_late(self: node_module.Node, *arguments: Any) -> None:
         if not self.has_list:
@@ -80,7 +80,7 @@
             return
         asyncio.get_running_loop().call_later(1.0, lambda: take_list(self, *arguments))
 
-    vars(node_module)["Node"].take_list = take_list_late
+    vars(node_module)["Node"].apply_list = take_list_late
 
 
 FAULTS: dict[str, Callable[[], None]] = {
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -244,9 +244,9 @@
     async def __aexit__(self, *_: object) -> None:
         for caller in self.callers:
             caller.leave()
-        self.node.ending.set()
+        self.node.stop_requested.set()
         # No further caller connects, so the shutdown needn't go on accepting connections for a while.
-        with mock.patch("coraldeal.net.node.STILL_ACCEPTING", 0):
+        with mock.patch("coraldeal.net.node.ACCEPT_AFTER_SIGTERM", 0):
             await self.task
 
     async def caller(self) -> Caller:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -19,8 +19,8 @@
 from coraldeal.admin import listener
 from coraldeal.admin.commands import answer_line
 from coraldeal.config import SettingsError, find_missing_key, parse_node_config, read_node_config
-from coraldeal.net.servers import Connection, Target
-from coraldeal.net.wire import read_list
+from coraldeal.net.servers import Connection, Endpoint
+from coraldeal.net.wire import parse_server_list
 from tests.standins import (
     SETTINGS,
     RunningNode,
@@ -78,7 +78,7 @@
         node_config = replace(config(server_list(1, True, *entries), **options), operator=("127.0.0.1", 0))
         running = await self.enterAsyncContext(RunningNode(node_config))
         await until(lambda: running.node.can_serve())
-        admin = running.node.door
+        admin = running.node.admin_listener
         assert admin is not None and admin.acceptor is not None
         self.port = admin.acceptor.sockets[0].getsockname()[1]
         return running
@@ -143,7 +143,7 @@
         connect = running.node.servers._connect
         in_maintenance: list[int] = []
 
-        async def start_maintenance_first(target: Target, careful: bool = False) -> Connection:
+        async def start_maintenance_first(target: Endpoint, careful: bool = False) -> Connection:
             if not in_maintenance:
                 in_maintenance.extend(
                     i for i, server in enumerate(servers) if server.address == target.address
@@ -161,12 +161,12 @@
         node_config = config(server_list(1, True), discovery="127.0.0.1:1")
         running = RunningNode(replace(node_config, known_list=None, operator=("127.0.0.1", 0)))
         await self.enterAsyncContext(running)
-        await until(lambda: running.node.door is not None and running.node.phase.value == "ready")
-        admin = running.node.door
+        await until(lambda: running.node.admin_listener is not None and running.node.phase.value == "ready")
+        admin = running.node.admin_listener
         assert admin is not None and admin.acceptor is not None
         self.port = admin.acceptor.sockets[0].getsockname()[1]
         self.assertTrue((await self.call(b"status\n")).startswith(b"ERR"))
-        running.node.take_list(read_list(server_list(1, True), 0))
+        running.node.apply_list(parse_server_list(server_list(1, True), 0))
         self.assertEqual(await self.call(b"status\n"), b"OK\n")
 
 
@@ -178,7 +178,7 @@
         values_before: dict[str, Any] = {"listen": "127.0.0.1:1", "seed": "7", "settings": SETTINGS}
         node.config = replace(node.config, raw_values=values_before)
         path = folder / "config.json"
-        node.read_anew = lambda: read_node_config(str(path), {})
+        node.load_config = lambda: read_node_config(str(path), {})
         invalid: list[tuple[str, str]] = [
             ("", "JSON"),
             (json.dumps(values_before)[:-9], "JSON"),
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -149,7 +149,7 @@
             await until(lambda: running.node.callers.streaming_answers == 1)
             await until(lambda: running.node.callers.streaming_answers == 0)
         self.assertLess(sent, len(LARGE) * 8)
-        await until(lambda: running.node.servers.open == 0)
+        await until(lambda: running.node.servers.open_connections == 0)
 
 
 class LargeRequestBodiesTest(BodiesCase):
@@ -170,7 +170,7 @@
         running = await self.node(answer)  # type: ignore[arg-type]
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.addCleanup(server.close)
-        running.node.servers.targets["s0"].port = server.sockets[0].getsockname()[1]
+        running.node.servers.endpoints["s0"].port = server.sockets[0].getsockname()[1]
         head = b"POST /read/x HTTP/1.1\r\nHost: n\r\nReq-Deadline: 300m\r\nReq-Id: "
         pieces = [LARGE[i : i + 99_991] for i in range(0, len(LARGE), 99_991)]
         with_length = head + b"1\r\nContent-Length: %d\r\n\r\n" % len(LARGE), pieces
@@ -210,7 +210,7 @@
                 running = await self.node(answer)  # type: ignore[arg-type]
                 server = await asyncio.start_server(serve, "127.0.0.1", 0)
                 self.addCleanup(server.close)
-                running.node.servers.targets["s0"].port = server.sockets[0].getsockname()[1]
+                running.node.servers.endpoints["s0"].port = server.sockets[0].getsockname()[1]
                 caller = await running.caller()
                 # The second body never arrives completely, so its request was not executed and may be
                 # retried by the caller.
@@ -241,7 +241,7 @@
             caller.raw(LARGE[: 2 * MIB])
             self.assertEqual(await caller.status(), 408)
         self.assertEqual((outcomes, self.server.seen), ([Outcome.CANCELLED], []))
-        await until(lambda: running.node.servers.open == 0)
+        await until(lambda: running.node.servers.open_connections == 0)
         self.assertEqual(running.node.callers.buffered_bytes, 0)
 
 
@@ -253,7 +253,7 @@
             writer.write(answer())
 
         caller = await (await self.node(respond)).caller()
-        with mock.patch("coraldeal.net.servers.STALL", 0.05):
+        with mock.patch("coraldeal.net.servers.ANSWER_STALL_TIMEOUT", 0.05):
             self.assertEqual((await caller.ask("write", b"x"))[0], 200)
 
     async def test_request_class_removed_while_its_body_is_received_gets_404(self) -> None:
@@ -263,7 +263,7 @@
         await until(lambda: running.node.callers.buffered_bytes == 1)
         settings = running.node.config.settings
         reduced = replace(settings, request_classes=settings.request_classes[:2])
-        running.node.read_anew = lambda: replace(running.node.config, settings=reduced)
+        running.node.load_config = lambda: replace(running.node.config, settings=reduced)
         running.node.reload()
         caller.raw(b"b")
         self.assertEqual(await caller.status(), 404)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -34,9 +34,9 @@
 from coraldeal.net.counters import Counters
 from coraldeal.net.discovery import Discovery
 from coraldeal.net.host import clock
-from coraldeal.net.servers import Connection, Servers
+from coraldeal.net.servers import Connection, ServerPool
 from coraldeal.net.unread import has_disconnected
-from coraldeal.net.wire import AttemptEnd, Call, Listed, Objects, read_list
+from coraldeal.net.wire import AttemptEnd, CallerRequest, JsonObjectStream, ListEntry, parse_server_list
 from tests.standins import (
     CHUNKED_HEAD,
     SETTINGS,
@@ -89,12 +89,12 @@
         second = {"e": "é\t"}
         text = indented(first) + b"\n\n" + json.dumps(second).encode() + json.dumps({}).encode() + b"\n"
         for size in range(1, len(text) + 1):
-            objects = Objects()
+            objects = JsonObjectStream()
             parsed = [o for at in range(0, len(text), size) for o in objects.feed(text[at : at + size])]
             self.assertEqual([json.loads(one) for one in parsed], [first, second, {}])
         for invalid in (b"x", b"[]", b"  \n}", b"{} nonsense"):
             with self.subTest(invalid=invalid), self.assertRaises(ValueError):
-                list(Objects().feed(invalid))
+                list(JsonObjectStream().feed(invalid))
 
     async def test_indented_snapshot_and_the_changes_after_it_are_applied(self) -> None:
         new, other = await self.stand_in(), await self.stand_in()
@@ -126,7 +126,10 @@
             ("within an object", watch(line, b'{"generation": 3,')),
             ("spaces within an object", dribble),
         ):
-            with self.subTest(name), mock.patch.multiple(discovery_module, SILENCE=0.2, ANSWER_WAIT=0.2):
+            with (
+                self.subTest(name),
+                mock.patch.multiple(discovery_module, LIVENESS_TIMEOUT=0.2, ANSWER_TIMEOUT=0.2),
+            ):
                 _, discovery = await self.watched(respond, rules=self.rules)
                 await until(lambda d=discovery: len(d.seen) >= 3, 3.0)  # type: ignore[misc]
                 self.assertIn("after=", discovery.seen[2].line)
@@ -151,14 +154,14 @@
                 await remaining.pop(0)(request, reader, writer)
 
             stand_in = await self.stand_in(respond)
-            read = partial(read_list, offset_us=0)
+            read = partial(parse_server_list, offset_us=0)
             Discovery(stand_in.address, read, mock.Mock(), failed.set).follow()
             await asyncio.wait_for(failed.wait(), 10)
             return len(stand_in.seen)
 
         # The times are far apart, so that they stay in order on a busy machine.
         with mock.patch.multiple(
-            discovery_module, SILENCE=0.4, ANSWER_WAIT=1.6, WAITED_LONG=0.4, FURTHER_AFTER=1.6
+            discovery_module, LIVENESS_TIMEOUT=0.4, ANSWER_TIMEOUT=1.6, WAITED_LONG=0.4, FURTHER_AFTER=1.6
         ):
             counts = await asyncio.gather(
                 count_calls(first, refuse_late, refuse_late, refuse),
@@ -196,17 +199,17 @@
         for _ in range(200):
             balancer.list_failed()
         balancer_wait = max(waits) / 1e6
-        rewatch_wait = node_module.REWATCH_MOST * 1.5
+        rewatch_wait = node_module.MAX_REWATCH_DELAY * 1.5
         # How long discovery may queue a call before it fails it, and how long an answer and its handling
         # by the node may take, in seconds.
         queue, reply = 3.0, 0.3
-        silence, answer_wait = discovery_module.SILENCE, discovery_module.ANSWER_WAIT
+        silence, answer_wait = discovery_module.LIVENESS_TIMEOUT, discovery_module.ANSWER_TIMEOUT
         self.assertGreater(answer_wait, queue)
         # Discovery sends a line every 2 s.
         self.assertGreater(silence, 2.4)
         for wait in (balancer_wait, rewatch_wait):
             for delay in (
-                silence + discovery_module.CONNECT_WAIT + wait,
+                silence + discovery_module.CONNECT_TIMEOUT + wait,
                 silence + answer_wait,
                 silence + queue,
                 wait + answer_wait,
@@ -226,7 +229,7 @@
             writer.write(chunked(json.dumps(server_list(3, False)).encode()))
             await reader.read()
 
-        with mock.patch.object(discovery_module, "SILENCE", 0.3):
+        with mock.patch.object(discovery_module, "LIVENESS_TIMEOUT", 0.3):
             node, discovery = await self.watched(block_loop, rules=self.rules)
             await until(lambda: node.node.discovery.version == 2)
             point.go.set()
@@ -246,7 +249,7 @@
                 await asyncio.sleep(0.1)
             await reader.read()
 
-        with mock.patch.multiple(discovery_module, SILENCE=0.3, ANSWER_WAIT=0.3):
+        with mock.patch.multiple(discovery_module, LIVENESS_TIMEOUT=0.3, ANSWER_TIMEOUT=0.3):
             node, discovery = await self.watched(send_slowly, rules=self.rules)
             await until(lambda: node.node.discovery.version == 2)
         self.assertEqual(len(discovery.seen), 1)
@@ -268,7 +271,7 @@
         ) -> None:
             await watch(line, then=lambda: self.drip(writer, blanks))(request, reader, writer)
 
-        with mock.patch.object(discovery_module, "SILENCE", 0.3):
+        with mock.patch.object(discovery_module, "LIVENESS_TIMEOUT", 0.3):
             node, discovery = await self.watched(send_blank_lines, rules=self.rules)
             await until(lambda: discovery.closed == 1)
         self.assertEqual(len(discovery.seen), 1)
@@ -293,13 +296,13 @@
                 running.node._list_failed()
         # The grace of a drain is 1.5 s, of which a connect that fails takes a part. The waits are random, so
         # that nodes do not retry in step.
-        self.assertLess(max(waits) + discovery_module.CONNECT_WAIT, 1.3)
+        self.assertLess(max(waits) + discovery_module.CONNECT_TIMEOUT, 1.3)
         self.assertGreater(max(waits) - min(waits), 0.1)
 
     async def test_unreadable_list_is_logged_once_with_the_missing_field_and_the_text(self) -> None:
         invalid = b'{"generation": 7, "reset": true, "instances": [{"instanceId": "s0"}]}'
         with (
-            mock.patch.object(node_module, "REWATCH_LEAST", 0.01),
+            mock.patch.object(node_module, "MIN_REWATCH_DELAY", 0.01),
             self.assertLogs("coraldeal.net.discovery", "INFO") as logs,
         ):
             node, discovery = await self.watched(watch(invalid), pushed=True)
@@ -326,7 +329,7 @@
             ) -> None:
                 await responders.pop(0)(request, reader, writer)
 
-            with self.subTest(name), mock.patch.object(wire, "OBJECT_MOST", 1000):
+            with self.subTest(name), mock.patch.object(wire, "MAX_OBJECT_BYTES", 1000):
                 node, discovery = await self.watched(respond, pushed=True)
                 await until(lambda d=discovery: len(d.seen) == 2)  # type: ignore[misc]
                 self.assertEqual(list(node.node.balancer.servers), [])
@@ -351,7 +354,7 @@
     async def test_oversized_object_ends_its_watch_and_a_snapshot_is_requested(self) -> None:
         line = json.dumps(server_list(2, False)).encode() + b"\n"
         with (
-            mock.patch.object(wire, "OBJECT_MOST", 1000),
+            mock.patch.object(wire, "MAX_OBJECT_BYTES", 1000),
             self.assertLogs("coraldeal.net.discovery", "INFO") as logs,
         ):
             _, discovery = await self.watched(watch(line, b"{" + b" " * 2000), pushed=True)
@@ -545,8 +548,8 @@
                 self.assertEqual(ended.call_count, 1)
                 # The connection is kept for the next attempt, or closed if part of the answer was not read.
                 idle = 0 if large else 1
-                await until(lambda r=running, idle=idle: r.node.servers.open == idle)  # type: ignore[misc]
-                self.assertEqual(len(running.node.servers.targets["s0"].idle), idle)
+                await until(lambda r=running, idle=idle: r.node.servers.open_connections == idle)  # type: ignore[misc]
+                self.assertEqual(len(running.node.servers.endpoints["s0"].idle), idle)
 
     async def test_unseen_disconnect_behind_pipelined_requests_sends_only_the_first(self) -> None:
         """With so many pipelined requests the node stops reading, so it can't see the close behind them."""
@@ -581,13 +584,15 @@
     """A connection to a server that closes, or may no longer be used, as an attempt starts or ends on it."""
 
     async def asyncSetUp(self) -> None:
-        self.servers = Servers(clock, 3_000_000, 1_000_000, lambda: None, lambda server: True, Counters(()))
+        self.servers = ServerPool(
+            clock, 3_000_000, 1_000_000, lambda: None, lambda server: True, Counters(())
+        )
         self.addAsyncCleanup(self.servers.close)
 
     def learn(self, stand_in: StandIn, name: str = "s") -> None:
         """List the stand-in as a ready server of this name."""
         entry = Entry(name, "z", 0, Condition.READY, 0)
-        self.servers.learn([Listed(entry, stand_in.address)])
+        self.servers.update_endpoints([ListEntry(entry, stand_in.address)])
 
     async def attempt(self, **options: Any) -> AttemptEnd:
         """Make an attempt at the server "s" with a timeout of 5 s."""
@@ -609,19 +614,19 @@
         ]
         for number, action in enumerate(actions):
             with self.subTest(number):
-                self.assertIs((await self.attempt(careful=True)).outcome, Outcome.SERVED)
-                (connection,) = self.servers.targets["s"].idle
+                self.assertIs((await self.attempt(not_idempotent=True)).outcome, Outcome.SERVED)
+                (connection,) = self.servers.endpoints["s"].idle
                 await asyncio.sleep(0.015)
                 assert connection.transport is not None
                 # The loop reads neither the close nor the answer before the next attempt starts.
                 connection.transport.pause_reading()
                 action(writers[-1])
                 await asyncio.sleep(0.005)
-                attempt = await self.attempt(careful=True)
+                attempt = await self.attempt(not_idempotent=True)
                 assert attempt.answer is not None
                 self.assertEqual((attempt.outcome, attempt.answer.body), (Outcome.SERVED, b"done"))
                 self.assertEqual((server.opened, len(server.seen)), (2 * number + 2, 2 * number + 2))
-                for remaining in list(self.servers.targets["s"].idle):
+                for remaining in list(self.servers.endpoints["s"].idle):
                     remaining.drop()
 
     async def test_server_that_moves_during_a_connect_gets_nothing_at_its_old_address(self) -> None:
@@ -678,7 +683,7 @@
                         changes.append(entry("new", old.address))
                     else:
                         changes.append(entry("s0", old.address, change))
-                    node.take_list(read_list(server_list(2, False, *changes), 0))
+                    node.apply_list(parse_server_list(server_list(2, False, *changes), 0))
                     if change == "replaced":
                         node.balancer.start_maintenance("new")
                     point.go.set()
@@ -694,21 +699,21 @@
         server = await self.stand_in(answer_early)
         self.learn(server)
         body = StreamedBody(FakeContent(b"01", ends=False), 0, Progress())  # type: ignore[arg-type]
-        call = Call("1", "read", None, None, False, GET[:-2], b"", rest=body, length=10)
+        call = CallerRequest("1", "read", None, None, False, GET[:-2], b"", body_stream=body, length=10)
 
         def cancel_first(*args: Any) -> Any:
             attempt.cancel()
             return read(*args)
 
-        read = wire.read_answer
-        with mock.patch.object(servers_module, "read_answer", cancel_first):
+        read = wire.parse_answer
+        with mock.patch.object(servers_module, "parse_answer", cancel_first):
             attempt = asyncio.create_task(
-                self.servers.attempt("s", GET, 5_000_000, call=call, on_body_sent=lambda: None)
+                self.servers.attempt("s", GET, 5_000_000, request=call, on_body_sent=lambda: None)
             )
             (end,) = await asyncio.gather(attempt, return_exceptions=True)
         self.assertIsInstance(end, asyncio.CancelledError)
         await until(lambda: server.closed == 1)
-        self.assertEqual((self.servers.open, self.servers.connecting), (0, 0))
+        self.assertEqual((self.servers.open_connections, self.servers.connecting), (0, 0))
 
     async def test_reset_after_the_last_byte_of_a_body_counts_as_possibly_executed(self) -> None:
         """Even if the task that sends the body has not been resumed since the last byte was sent."""
@@ -722,14 +727,14 @@
         self.learn(server)
         body = StreamedBody(FakeContent(b"0123456789"), 0, Progress())  # type: ignore[arg-type]
         head = b"POST /read/1 HTTP/1.1\r\nHost: s\r\nContent-Length: 10\r\n\r\n"
-        call = Call("1", "read", None, None, False, head, b"", rest=body, length=10)
+        call = CallerRequest("1", "read", None, None, False, head, b"", body_stream=body, length=10)
 
         async def drain(connection: Connection) -> None:
             if body.bytes_read == 10:
                 await drained.stop()
 
         with mock.patch.object(Connection, "_drain_helper", drain):
-            end = await self.servers.attempt("s", head, 5_000_000, call=call, on_body_sent=lambda: None)
+            end = await self.servers.attempt("s", head, 5_000_000, request=call, on_body_sent=lambda: None)
         self.assertEqual([request.body for request in server.seen], [b"0123456789"])
         self.assertIs(end.outcome, Outcome.RESET)
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -96,7 +96,7 @@
         self.assertEqual(
             (successor.balancer.servers["s0"].concurrency_limit, successor.discovery.version), (7, 4)
         )
-        self.assertEqual((predecessor.part, successor.part), (0.5, 0.5))
+        self.assertEqual((predecessor.share, successor.share), (0.5, 0.5))
         self.assertLessEqual(
             predecessor.limit + successor.limit + 2 * predecessor.reserve, predecessor.config.sockets
         )
@@ -105,9 +105,9 @@
         self.assertEqual((await caller.ask("read"))[0], 200)
         self.assertEqual((successor.figures.attempts, predecessor.figures.attempts), (1, 0))
         # Maintenance that is started or ended at either process applies to both.
-        assert successor.door is not None and predecessor.door is not None
-        self.assertTrue(predecessor.door.interface.end_maintenance("s1"))
-        self.assertTrue(successor.door.interface.start_maintenance("s0"))
+        assert successor.admin_listener is not None and predecessor.admin_listener is not None
+        self.assertTrue(predecessor.admin_listener.interface.end_maintenance("s1"))
+        self.assertTrue(successor.admin_listener.interface.start_maintenance("s0"))
         await until(
             lambda: "s0" in predecessor.balancer.in_maintenance
             and "s1" not in successor.balancer.in_maintenance
@@ -119,11 +119,11 @@
         self.assertEqual((await connected.ask("read"))[0], 200)
         successor = (await self.start(with_list=False)).node
         await until(lambda: running.node.callers.listener is None)
-        running.node.ending.set()
+        running.node.stop_requested.set()
         status, answer = await connected.ask("read")
         self.assertEqual((status, answer.fields["connection"]), (200, "close"))
         await running.task
-        await until(lambda: successor.part == 1.0)
+        await until(lambda: successor.share == 1.0)
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
@@ -139,7 +139,7 @@
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
-        self.assertEqual((predecessor.figures.attempts, predecessor.part), (1, 1.0))
+        self.assertEqual((predecessor.figures.attempts, predecessor.share), (1, 1.0))
         # The next successor connects to it again.
         third = (await self.start(with_list=False)).node
         self.assertIn("s0", third.balancer.servers)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -190,7 +190,7 @@
         node = await self.node(await self.stand_in())
         caller = await node.caller()
         with (
-            mock.patch("coraldeal.net.servers.read_answer", side_effect=KeyError("bug")),
+            mock.patch("coraldeal.net.servers.parse_answer", side_effect=KeyError("bug")),
             self.assertLogs("coraldeal.net.inquiry", "ERROR"),
         ):
             self.assertEqual((await caller.ask())[0], 500)
@@ -274,13 +274,13 @@
         long_times = {"expected_time_ns": 4 * 10**9, "patience_ns": 9 * 10**9}
         classes = [{**each, **long_times} for each in SETTINGS["tracks"]]
         server = await self.stand_in(never_answer)
-        with mock.patch("coraldeal.net.node.END_PATIENCE", 0.1):
+        with mock.patch("coraldeal.net.node.MAX_DRAIN_DEADLINE", 0.1):
             running = await self.node(server, tracks=classes)
             caller = await running.caller()
             caller.send("write", b"x", "9000m")
             await until(lambda: len(server.seen) == 1)
             started_at = clock()
-            running.node.ending.set()
+            running.node.stop_requested.set()
             self.assertGreaterEqual((await caller.answer())[0], 500)
             self.assertLess(clock() - started_at, 800_000)
             self.assertEqual(await caller.read_to_end(), b"")
@@ -302,7 +302,7 @@
         later = [await node.caller() for _ in range(60)]
         for caller in later:
             self.assertEqual((await caller.ask())[0], 200)
-        await until(lambda: node.node.callers.connection_count + node.node.servers.held <= 105)
+        await until(lambda: node.node.callers.connection_count + node.node.servers.descriptors_in_use <= 105)
         self.assertEqual(await callers[0].read_to_end(), b"")
 
     async def test_connections_without_requests_do_not_use_up_the_reserve(self) -> None:
@@ -381,7 +381,7 @@
 
     async def test_silent_watch_is_replaced(self) -> None:
         discovery = await self.discovery(server_list(2, False))
-        with mock.patch.object(discovery_module, "SILENCE", 0.1):
+        with mock.patch.object(discovery_module, "LIVENESS_TIMEOUT", 0.1):
             await self.node(await self.stand_in(), discovery=discovery.address)
             await until(lambda: len(discovery.seen) >= 2)
         self.assertIn("after=2", discovery.seen[1].line)
@@ -428,7 +428,7 @@
         await until(lambda: len(first.seen) == 1)
         reloads = [SettingsError("setting seed is not text"), replace(node.config, discovery=second.address)]
         with (
-            mock.patch.object(node.node, "read_anew", side_effect=reloads),
+            mock.patch.object(node.node, "load_config", side_effect=reloads),
             self.assertLogs("coraldeal.net.node", "INFO") as logs,
         ):
             os.kill(os.getpid(), signal.SIGHUP)
@@ -443,7 +443,7 @@
 
     async def test_pushed_list_is_watched_from_the_start_and_again_after_each_end(self) -> None:
         discovery = await self.discovery(server_list(2, False), hold=False)
-        with mock.patch("coraldeal.net.node.REWATCH_LEAST", 0.01):
+        with mock.patch("coraldeal.net.node.MIN_REWATCH_DELAY", 0.01):
             node = await self.node(await self.stand_in(), discovery=discovery.address, pushed=True)
             await until(lambda: len(discovery.seen) >= 3)
         self.assertEqual(node.node.balancer.list_wait, 0)
