--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -161,7 +161,7 @@
 
         # The times are far apart, so that they stay in order on a busy machine.
         with mock.patch.multiple(
-            discovery_module, LIVENESS_TIMEOUT=0.4, ANSWER_TIMEOUT=1.6, WAITED_LONG=0.4, FURTHER_AFTER=1.6
+            discovery_module, LIVENESS_TIMEOUT=0.4, ANSWER_TIMEOUT=1.6, LONG_CALL=0.4, EXTRA_CALL_AFTER=1.6
         ):
             counts = await asyncio.gather(
                 count_calls(first, refuse_late, refuse_late, refuse),
