--- a/coraldeal/net/admin_interface.py
+++ b/coraldeal/net/admin_interface.py
@@ -27,7 +27,7 @@
     def figures(self) -> dict[str, Any]:
         """Return the node's figures by their outer names; some are left out while they are 0."""
         node = self.node
-        balancer, counts = node.balancer, node.figures
+        balancer, counts = node.balancer, node.counters
         # Listed servers that aren't counted here are in maintenance, draining or ejected.
         now = node.host.now
         usable_servers = sum(server.ejected_until <= now for server in balancer.servers.values())
--- a/coraldeal/net/node.py
+++ b/coraldeal/net/node.py
@@ -101,14 +101,14 @@
         self.share = 1.0
         self._set_descriptor_limit(config.sockets)
         settings = config.settings
-        self.figures = Counters(request_class.name for request_class in settings.request_classes)
+        self.counters = Counters(request_class.name for request_class in settings.request_classes)
         self.servers = ServerPool(
             clock,
             config.conn_idle_us,
             config.connect_timeout_us,
             self._make_room,
             self._may_send,
-            self.figures,
+            self.counters,
             *self._connection_settings(operator_file),
         )
         self.inquiries = Inquiries(self.servers)
@@ -118,7 +118,7 @@
         }
         live = self.inquiries.handle_inquiry
         self.callers = Callers(
-            deadlines, live, self._is_ready, self._is_crowded, self._make_room, self.figures
+            deadlines, live, self._is_ready, self._is_crowded, self._make_room, self.counters
         )
         # An accepted connection holds its descriptor for four loop iterations before the idle one that makes
         # room for it is closed: with this limit, a burst uses up a sixth of the reserve.
@@ -221,10 +221,10 @@
                 raise SettingsError(f"setting {missing_key} is missing, but the current configuration has it")
         except Exception as error:
             # Whatever is wrong with the file, the node continues with the configuration that it has.
-            self.figures.reload_errors += 1
+            self.counters.reload_errors += 1
             log.error("configuration kept", extra={"pairs": {"why": error}})
             return
-        self.figures.reloads += 1
+        self.counters.reloads += 1
         # The nodes that exchange peer messages can change only with a restart.
         current_settings = old.settings
         settings = replace(new.settings, peers=current_settings.peers, peer_index=current_settings.peer_index)
@@ -238,7 +238,7 @@
                 request_class.name: request_class.deadline_us
                 for request_class in new.settings.request_classes
             }
-            self.figures.add_request_classes(self.callers.deadlines_us)
+            self.counters.add_request_classes(self.callers.deadlines_us)
             self.inquiries.not_idempotent_classes = _not_idempotent(new.settings)
         self.servers.apply_settings(new.conn_idle_us, new.connect_timeout_us)
         if new.discovery != old.discovery and not self.discovery.sources:
--- a/coraldeal/net/servers.py
+++ b/coraldeal/net/servers.py
@@ -261,7 +261,7 @@
         connect_timeout_us: int,
         make_room: Callable[[], None],
         may_send: Callable[[ServerId], bool],
-        figures: Counters,
+        counters: Counters,
         ages: ConnectionAges | None = None,
         max_age: float = 0.0,
     ) -> None:
@@ -280,7 +280,7 @@
         self.idle_connections: OrderedDict[Connection, None] = OrderedDict()
         self.make_room = make_room
         self.may_send = may_send
-        self.figures = figures
+        self.counters = counters
         # Connects that failed with an error of this machine, and the rate limit of their log lines.
         self.local_connect_failures = 0
         self.local_failure_throttle = LogThrottle()
@@ -450,7 +450,7 @@
                     if is_fully_written and on_body_sent is not None:
                         on_body_sent()
                 if is_fully_written and not is_probe:
-                    self.figures.attempts += 1
+                    self.counters.attempts += 1
                 status, fields, raw, body, answer_stream = await (reading or self._read_answer(connection))
             report = parse_load_report(fields.get("Srv-Load"))
             outcome, answer = parse_answer(status, fields, raw, body, answer_stream)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -64,7 +64,7 @@
         body += await caller.reader.readexactly(len(LARGE) - len(body))
         self.assertEqual(digest(body), digest(LARGE))
         await until(lambda: running.node.callers.streaming_answers == 0)
-        self.assertEqual(running.node.figures.served["read"], 1)
+        self.assertEqual(running.node.counters.served["read"], 1)
         # Both connections are kept alive.
         send_rest.set()
         caller.send()
@@ -125,7 +125,7 @@
                 self.assertFalse(received.endswith(b"0\r\n\r\n"))
                 self.assertLess(len(received), len(LARGE))
                 self.assertEqual(len(self.server.seen), 1)
-                counters = running.node.figures
+                counters = running.node.counters
                 self.assertEqual((counters.served["read"], counters.failed["read"]), (0, 1))
 
     async def test_client_that_stops_reading_is_cut_and_little_is_buffered_for_it(self) -> None:
@@ -182,10 +182,10 @@
             head_received.clear()
             # The deadline of 0.3 s does not run while the body is being received.
             await asyncio.sleep(0.4)
-            self.assertEqual(running.node.figures.attempts, len(digests))
+            self.assertEqual(running.node.counters.attempts, len(digests))
             caller.raw(parts[-1])
             self.assertEqual((await caller.answer())[0], 200)
-        self.assertEqual((digests, running.node.figures.attempts), ([digest(LARGE)] * 2, 2))
+        self.assertEqual((digests, running.node.counters.attempts), ([digest(LARGE)] * 2, 2))
         self.assertEqual((running.node.callers.buffered_bytes, running.node.balancer.attempts), (0, {}))
 
     async def test_buffered_body_is_retried_and_streamed_one_is_rejected(self) -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -103,7 +103,7 @@
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
-        self.assertEqual((successor.figures.attempts, predecessor.figures.attempts), (1, 0))
+        self.assertEqual((successor.counters.attempts, predecessor.counters.attempts), (1, 0))
         # Maintenance that is started or ended at either process applies to both.
         assert successor.admin_listener is not None and predecessor.admin_listener is not None
         self.assertTrue(predecessor.admin_listener.interface.end_maintenance("s1"))
@@ -139,7 +139,7 @@
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
-        self.assertEqual((predecessor.figures.attempts, predecessor.share), (1, 1.0))
+        self.assertEqual((predecessor.counters.attempts, predecessor.share), (1, 1.0))
         # The next successor connects to it again.
         third = (await self.start(with_list=False)).node
         self.assertIn("s0", third.balancer.servers)
