--- a/coraldeal/net/admin_interface.py
+++ b/coraldeal/net/admin_interface.py
@@ -63,15 +63,15 @@
     def start_maintenance(self, server: ServerId) -> bool:
         """Send no more attempts to a server, here and in the node's other process; False: unknown server."""
         is_known = self.node.balancer.start_maintenance(server)
-        if is_known and self.node.succession is not None:
-            self.node.succession.link.notify_maintenance_started(server)
+        if is_known and self.node.handover is not None:
+            self.node.handover.link.notify_maintenance_started(server)
         return is_known
 
     def end_maintenance(self, server: ServerId) -> bool:
         """End the maintenance of a server, here and in the node's other process; False: unknown server."""
         is_known = self.node.balancer.end_maintenance(server)
-        if is_known and self.node.succession is not None:
-            self.node.succession.link.notify_maintenance_ended(server)
+        if is_known and self.node.handover is not None:
+            self.node.handover.link.notify_maintenance_ended(server)
         return is_known
 
 
--- a/coraldeal/net/node.py
+++ b/coraldeal/net/node.py
@@ -142,7 +142,7 @@
         # Whether any list was received: from the configuration, the predecessor process or discovery.
         self.has_list = False
         self.admin_listener: AdminListener | None = None
-        self.succession: NodeHandover | None = None
+        self.handover: NodeHandover | None = None
 
     def _connection_settings(self, operator_file: OperatorFile | None) -> tuple[ConnectionAges | None, float]:
         """Return what the operator's file sets for connections: the ages to learn, and the maximum age."""
@@ -188,8 +188,8 @@
         # The objects created so far live as long as the process: exclude them from garbage collections.
         gc.freeze()
         self._enter(Phase.READY)
-        if self.succession is not None:
-            self.succession.link.start_serving()
+        if self.handover is not None:
+            self.handover.link.start_serving()
         await self.stop_requested.wait()
         await self._drain()
 
@@ -204,8 +204,8 @@
         if folder := os.environ.get("TMPDIR"):
             from coraldeal.net.handover import NodeHandover
 
-            self.succession = NodeHandover(self, folder)
-            await self.succession.start()
+            self.handover = NodeHandover(self, folder)
+            await self.handover.start()
         else:
             await self.callers.listen(self.config.host, self.config.port)
         self.admin_listener = await open_admin_listener(self, operator)
@@ -260,8 +260,8 @@
         if self.host.peer_transport is not None:
             # A successor process binds the same address.
             self.host.peer_transport.close()
-        if self.succession is not None:
-            self.succession.link.ownership.shutdown_started()
+        if self.handover is not None:
+            self.handover.link.ownership.shutdown_started()
         request_classes = self.config.settings.request_classes
         longest_deadline = max((request_class.deadline_us for request_class in request_classes), default=0)
         longest_latency_target = max(
@@ -270,7 +270,7 @@
         # The platform may kill the process soon after this time.
         end_us = clock() + min(longest_deadline, int(MAX_DRAIN_DEADLINE * 1e6)) + int(DRAIN_SLACK * 1e6)
         self.inquiries.answer_all_by(end_us)
-        if self.succession is not None and self.succession.link.ownership.successor_accepts:
+        if self.handover is not None and self.handover.link.ownership.successor_accepts:
             # A successor accepts new connections: closing each one behind its answer moves the caller there.
             self.callers.is_closing = True
         else:
@@ -282,8 +282,8 @@
         await self.callers.close()
         if self.admin_listener is not None:
             self.admin_listener.close()
-        if self.succession is not None:
-            await self.succession.link.close()
+        if self.handover is not None:
+            await self.handover.link.close()
             await self.callers.stop_listening()
         await self.discovery.close()
         await self.servers.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -133,8 +133,8 @@
         successor = (await self.start()).node
         await until(lambda: predecessor.callers.listener is None)
         successor.callers.set_accepting(False)
-        assert successor.succession is not None
-        await successor.succession.link.close()
+        assert successor.handover is not None
+        await successor.handover.link.close()
         await until(lambda: predecessor.callers.listener is not None)
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
@@ -146,8 +146,8 @@
 
     async def test_without_a_usable_predecessor_the_node_starts_from_its_own_list(self) -> None:
         first = await self.start()
-        assert first.node.succession is not None
-        path = first.node.succession.link.path
+        assert first.node.handover is not None
+        path = first.node.handover.link.path
         cases = (
             "nothing",
             "a file",
@@ -225,7 +225,7 @@
 
     async def test_sizes_and_kinds_of_servers_are_handed_over(self) -> None:
         node = (await self.start()).node
-        handover, balancer = node.succession, node.balancer
+        handover, balancer = node.handover, node.balancer
         assert handover is not None
         name, entry = next(iter(balancer.listed.items()))
         balancer.listed[name] = replace(entry, size=2.5, kind="m2")
