--- a/coraldeal/rig/listing.py
+++ b/coraldeal/rig/listing.py
@@ -40,9 +40,9 @@
 class Listing:
     """The list of one tier of servers, for all nodes in front of it."""
 
-    def __init__(self, layer: int, book: Records, delay_us: int) -> None:
+    def __init__(self, layer: int, records: Records, delay_us: int) -> None:
         self.layer = layer
-        self.book = book
+        self.records = records
         # The time from a change of a server to the change of the list, and an injected delay in addition.
         self.delay_us = delay_us
         self.extra_delay_us = 0
@@ -97,7 +97,7 @@
         )
         self.servers[name] = changed
         self.generation += 1
-        self.book.lists.append(ListRecord(self.layer, now_us(), "has", name, condition))
+        self.records.lists.append(ListRecord(self.layer, now_us(), "has", name, condition))
         self.changes.append((self.generation, changed))
         del self.changes[:-MAX_CHANGES_KEPT]
         for endpoint in self.endpoints:
@@ -106,7 +106,7 @@
     def set_down(self, down: bool) -> None:
         """Start or end an outage of the list, in which watches end and calls fail."""
         if down != self.down:
-            self.book.lists.append(ListRecord(self.layer, now_us(), "down" if down else "up"))
+            self.records.lists.append(ListRecord(self.layer, now_us(), "down" if down else "up"))
         self.down = down
         if down:
             for endpoint in self.endpoints:
@@ -216,7 +216,7 @@
         self._record(message)
 
     def _record(self, message: dict[str, Any]) -> None:
-        self.listing.book.told += notification_records(self.node, self.listing.layer, message)
+        self.listing.records.told += notification_records(self.node, self.listing.layer, message)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = asyncio.current_task()
--- a/coraldeal/rig/slopes.py
+++ b/coraldeal/rig/slopes.py
@@ -373,7 +373,7 @@
             await loop.sock_sendall(follower, b"GET /v1/endpoints?watch=1 HTTP/1.1\r\n\r\n")
         while len(endpoint.watches) < count:
             await asyncio.sleep(0.01)
-        listing.book.told.clear()
+        listing.records.told.clear()
         held = float(tracemalloc.get_traced_memory()[0] - before)
         tracemalloc.stop()
         costs = []
