--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -88,10 +88,10 @@
 
 
 class Checks(unittest.TestCase):
-    def counts(self, book: Records, mode: str = "ask") -> dict[str, int]:
+    def counts(self, records: Records, mode: str = "ask") -> dict[str, int]:
         """The number of violations of each broken rule."""
         experiment = Experiment(name="x", world=World(list_mode=mode))  # type: ignore[arg-type]
-        checker = RuleChecker(experiment, book, [], START)
+        checker = RuleChecker(experiment, records, [], START)
         checker.check()
         return {rule: count for rule, count in checker.counts.items() if count}
 
@@ -120,8 +120,8 @@
             ("push", 4 * SECOND, {}),
             ("push", 5 * SECOND, {"drain": 1}),
         ):
-            book = Records(tries=[make_try(at=at)], attempts=[make_attempt(at=at)], lists=list(outage))
-            self.assertEqual(self.counts(book, mode), expected)
+            records = Records(tries=[make_try(at=at)], attempts=[make_attempt(at=at)], lists=list(outage))
+            self.assertEqual(self.counts(records, mode), expected)
 
     def test_node_that_serves_no_request_of_a_class_for_a_while_is_out_of_use(self) -> None:
         def rejected(count: int) -> list[TryRecord]:
