--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -129,8 +129,8 @@
         self.servers.update_endpoints(listed)
         self.head = b"POST /x HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n"
 
-    async def attempt(self, careful: bool = False) -> Outcome:
-        return (await self.servers.attempt("s", self.head, SECOND, not_idempotent=careful)).outcome
+    async def attempt(self, not_idempotent: bool = False) -> Outcome:
+        return (await self.servers.attempt("s", self.head, SECOND, not_idempotent=not_idempotent)).outcome
 
     async def test_careful_attempt_avoids_connections_that_may_be_closing(self) -> None:
         periods = self.servers.endpoints["s"].idle_periods
@@ -140,7 +140,7 @@
         await self.attempt()
         await asyncio.sleep(0.035)
         # 35 ms idle: below the 50 ms at which closes were seen, above half of that.
-        self.assertIs(await self.attempt(careful=True), Outcome.SERVED)
+        self.assertIs(await self.attempt(not_idempotent=True), Outcome.SERVED)
         self.assertEqual(self.server.opened, 2)
         await asyncio.sleep(0.02)
         self.assertIs(await self.attempt(), Outcome.SERVED)
