--- a/coraldeal/net/servers.py
+++ b/coraldeal/net/servers.py
@@ -47,10 +47,10 @@
 
 log = logging.getLogger(__name__)
 
-# A connection is reused only within this fraction of the idle time after which the server closes it, so that
-# a request doesn't cross the server's close.
+# An idle connection is reused only for this fraction of the time after which the server closes it, so that a
+# request doesn't cross the server's close.
 IDLE_FRACTION = 0.7
-# The interval between searches for connections past that limit, as a fraction of the server's idle time.
+# The interval between sweeps that close connections past that limit, as a fraction of the same time.
 SWEEP_FRACTION = 0.1
 # Seconds after an answer before its connection is reused. Bytes that a server sends right behind an answer
 # must be seen before the next request is written, or they would be parsed as that request's answer.
@@ -59,9 +59,9 @@
 ANSWER_STALL_TIMEOUT = 0.4
 # The same for an answer that is streamed to its caller: longer, since it can't be retried any more.
 STREAM_STALL_TIMEOUT = 10.0
-# Seconds after its first bytes for which an answer that may be large is buffered: if it ends within this
-# time it is buffered whole, and if it is malformed the inquiry can be retried. The first piece after this
-# time makes the answer a streamed one, which rules a retry out.
+# Seconds from the first bytes of its body for which an answer that may be large is buffered. If it turns out
+# to be malformed within this time, the inquiry can be retried. With the first piece after this time, the
+# answer is streamed to the caller, which rules a retry out.
 COMMIT_DELAY = 0.1
 # Seconds to wait for an answer from a server that closed the connection within the request body.
 FINAL_ANSWER_WAIT = 0.1
@@ -71,7 +71,7 @@
 LOCAL_CONNECT_ERRORS = SHORTAGE_ERRNOS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
 # Connect errors that may be gone on the next try; if they persist, they count against the server.
 TRANSIENT_CONNECT_ERRORS = frozenset((errno.ECONNABORTED, errno.EHOSTUNREACH))
-# Seconds between the tries of one connect.
+# Seconds before the second, third and fourth try of one connect.
 CONNECT_RETRY_DELAYS = (0.002, 0.005, 0.01)
 HEAD_END = b"\r\n\r\n"
 
@@ -89,9 +89,9 @@
 
 
 class Connection(ResponseHandler):
-    """One connection to a server; no byte beyond the awaited answer reaches the parser.
+    """A connection to a server, which passes to the parser only the bytes of the awaited answer.
 
-    aiohttp's parser discards a valid answer when garbage follows it in the same read.
+    aiohttp's parser would discard a valid answer if garbage followed it in the same read.
     """
 
     def __init__(self, servers: ServerPool, endpoint: Endpoint) -> None:
@@ -111,6 +111,7 @@
         self.head_seen = False
         # Bytes of the body still expected; None: the length is unknown, the parser detects the end.
         self.body_left: int | None = None
+        # The end of what was received of an incomplete head: HEAD_END may have begun there.
         self.last_bytes = b""
         self.is_complete = False
         # Whether bytes arrived behind the answer, which make the connection unusable.
@@ -173,23 +174,23 @@
             self._payload.set_exception(exc, *cause)
 
     def data_received(self, data: bytes) -> None:
-        """Feed the parser up to the end of the awaited answer, and keep everything behind it out."""
+        """Pass bytes to the parser up to the end of the awaited answer, and discard those behind it."""
         if not data:
-            # An empty call makes the parser continue with what it kept while reading was paused.
+            # An empty call makes the parser continue with the data it held back while reading was paused.
             super().data_received(data)
         while data and not self.is_complete:
             if self.head_seen:
                 end = len(data) if self.body_left is None else self.body_left
             else:
-                # Feed one head at a time: interim responses may precede the final one.
-                found = (self.last_bytes + data).find(HEAD_END)
-                end = len(data) if found < 0 else found + len(HEAD_END) - len(self.last_bytes)
-                self.last_bytes = (self.last_bytes + data)[-3:] if found < 0 else b""
+                # Pass on one head at a time: interim responses may precede the final one.
+                position = (self.last_bytes + data).find(HEAD_END)
+                end = len(data) if position < 0 else position + len(HEAD_END) - len(self.last_bytes)
+                self.last_bytes = (self.last_bytes + data)[-3:] if position < 0 else b""
             was_body = self.head_seen
-            part, data = data[:end], data[end:]
-            super().data_received(part)
+            piece, data = data[:end], data[end:]
+            super().data_received(piece)
             if was_body and self.body_left is not None:
-                self.body_left -= len(part)
+                self.body_left -= len(piece)
             self.is_complete = self.body_left == 0
         if data:
             self.has_surplus = True
@@ -198,7 +199,7 @@
 
 
 class AnswerStream:
-    """The remainder of an answer that is streamed to its caller; whoever receives it must close it."""
+    """The remainder of an answer that is streamed to its caller; its receiver must close it."""
 
     __slots__ = ("connection", "length", "payload", "servers")
 
@@ -240,7 +241,7 @@
         self.port = int(port)
         # False once the list has removed the server or given it another address.
         self.is_listed = True
-        # The connection used last is at the end.
+        # The idle connections, with the one used last at the end.
         self.idle: list[Connection] = []
         # How long idle connections to this server have lasted, if the operator has enabled learning it.
         self.idle_periods: IdlePeriods | None = None
@@ -269,6 +270,7 @@
         self.ages = ages
         # Seconds after which a connection is not reused any more; 0: unlimited.
         self.max_age = max_age
+        # How many random numbers were drawn; each is computed from this number.
         self.random_draws = 0
         self.clock = clock
         self.loop = asyncio.get_running_loop()
@@ -278,7 +280,9 @@
         # Idle connections in the order in which they became idle. Ordered, so that the longest idle one is
         # found in constant time.
         self.idle_connections: OrderedDict[Connection, None] = OrderedDict()
+        # Closes idle connections while the node exceeds its descriptor limit; called before each connect.
         self.make_room = make_room
+        # Returns whether the decisions still permit requests to this server.
         self.may_send = may_send
         self.counters = counters
         # Connects that failed with an error of this machine, and the rate limit of their log lines.
@@ -291,7 +295,10 @@
         self.sweeper = self.loop.call_later(self.sweep_interval, self._sweep)
 
     def apply_settings(self, idle_us: int, connect_timeout_us: int) -> None:
-        """Apply a server's idle time and the connect timeout, both in microseconds."""
+        """Apply the idle time after which servers close a connection, and the connect timeout.
+
+        Both are in microseconds.
+        """
         self.connect_timeout = connect_timeout_us / 1e6
         self.probe_timeout_us = connect_timeout_us + int(PROBE_EXTRA_TIME * 1e6)
         self.max_idle = IDLE_FRACTION * idle_us / 1e6
@@ -308,8 +315,8 @@
         """Close connections that have been idle too long, and schedule the next sweep."""
         now = self.loop.time()
         for endpoint in dict.fromkeys(connection.endpoint for connection in self.idle_connections):
-            keep = self._max_idle_time(endpoint, not_idempotent=False)
-            while endpoint.idle and endpoint.idle[0].idle_since < now - keep:
+            max_idle_time = self._max_idle_time(endpoint, not_idempotent=False)
+            while endpoint.idle and endpoint.idle[0].idle_since < now - max_idle_time:
                 endpoint.idle[0].drop()
         self.sweeper = self.loop.call_later(self.sweep_interval, self._sweep)
 
@@ -337,8 +344,8 @@
         if not self.max_age:
             return False
         self.random_draws += 1
-        chance = crc32(f"{connection.endpoint.address} {self.random_draws}".encode()) / 2**32
-        return self.loop.time() - connection.created_at > self.max_age * (1 - chance / 4)
+        random_fraction = crc32(f"{connection.endpoint.address} {self.random_draws}".encode()) / 2**32
+        return self.loop.time() - connection.created_at > self.max_age * (1 - random_fraction / 4)
 
     @property
     def descriptors_in_use(self) -> int:
@@ -426,7 +433,7 @@
             async with asyncio.timeout(timeout_us / 1e6) as timer:
                 connection = await self._connect(endpoint, not_idempotent)
                 if not (endpoint.is_listed and self.may_send(server)):
-                    # After the choice, the server began to drain, went into maintenance, or moved.
+                    # Meanwhile the server has begun to drain, entered maintenance, or changed its address.
                     return AttemptEnd(Outcome.NOT_STARTED, self.clock() - started)
                 if not may_start():
                     return AttemptEnd(Outcome.NOT_STARTED, self.clock() - started)
@@ -467,7 +474,7 @@
             outcome = Outcome.CANCELLED
         except (OSError, aiohttp.ClientError):
             # The attempt is proved not run only if its last byte was not written. The last byte of a streamed
-            # body may be out before the task that forwards it has reported so.
+            # body may have been written before the task that forwards the body has ended.
             is_sent = is_fully_written or (
                 request is not None and request.body_stream is not None and request.body_stream.is_sent
             )
@@ -502,14 +509,15 @@
     async def _connect(self, endpoint: Endpoint, not_idempotent: bool = False) -> Connection:
         """Return a connection from the pool, or else a new one.
 
-        The connection used last is preferred, so that the others become idle for long and are closed. Its
-        settle time must be over.
+        Of the idle connections past their settle time, the one used last is preferred, so that the others
+        stay idle and are closed. Raises LocalConnectError or OSError if no connection can be opened, and
+        TimeoutError if that takes longer than the connect timeout.
         """
         now = self.loop.time()
-        keep = self._max_idle_time(endpoint, not_idempotent)
+        max_idle_time = self._max_idle_time(endpoint, not_idempotent)
         for connection in endpoint.idle[::-1]:
             if connection.idle_since <= now - SETTLE_TIME:
-                if connection.idle_since < now - keep:
+                if connection.idle_since < now - max_idle_time:
                     break
                 if has_unread(connection.transport):
                     # The server's close, or unrequested bytes, are in the socket and not read yet.
@@ -526,7 +534,10 @@
             self.connecting -= 1
 
     async def _open(self, endpoint: Endpoint) -> Connection:
-        """Open a connection; LocalConnectError if this machine can't, in spite of several tries."""
+        """Open a connection, in several tries if the error may be temporary.
+
+        Raises LocalConnectError if the last error is one of this machine, otherwise OSError.
+        """
         for pause in CONNECT_RETRY_DELAYS:
             try:
                 return await self._open_once(endpoint)
@@ -560,24 +571,24 @@
     async def _forward_body(
         self, connection: Connection, request: CallerRequest, reading: asyncio.Task[RawAnswer]
     ) -> bool:
-        """Forward a streamed body; return False if an answer or the connection's end came before its end."""
+        """Forward a streamed body; return False if an answer or a close arrived before the body's end."""
         assert request.body_stream is not None
-        passing = self.loop.create_task(self._write_pieces(connection, request, request.body_stream))
+        forwarding = self.loop.create_task(self._write_pieces(connection, request, request.body_stream))
         try:
-            await asyncio.wait((reading, passing), return_when=asyncio.FIRST_COMPLETED)
-            if not passing.done():
+            await asyncio.wait((reading, forwarding), return_when=asyncio.FIRST_COMPLETED)
+            if not forwarding.done():
                 return False
-            if isinstance(passing.exception(), OSError):
-                # A server that closes within the body may have sent an answer before.
+            if isinstance(forwarding.exception(), OSError):
+                # A server that closes the connection within the body may have sent an answer before.
                 await asyncio.wait((reading,), timeout=FINAL_ANSWER_WAIT)
                 if reading.done():
                     return False
-            await passing
+            await forwarding
             return True
         finally:
-            passing.cancel()
+            forwarding.cancel()
             # The task must have ended before the attempt continues, and its exception must be retrieved.
-            await asyncio.gather(passing, return_exceptions=True)
+            await asyncio.gather(forwarding, return_exceptions=True)
 
     async def _write_pieces(
         self, connection: Connection, request: CallerRequest, body_stream: StreamedBody
@@ -627,7 +638,7 @@
         return not transport.is_closing()
 
     async def _read_answer(self, connection: Connection) -> RawAnswer:
-        """Read a whole answer, or the beginning of one that is large enough to be streamed."""
+        """Read a whole answer, or the beginning of one that will be streamed."""
         message, payload = await connection.read()
         while message.code < 200:
             message, payload = await connection.read()
@@ -649,17 +660,17 @@
             if may_be_large and (len(body) > STREAMING_THRESHOLD or now >= commit_at):
                 return *head, bytes(body), AnswerStream(self, connection, payload, announced_length)
             if len(body) > STREAMING_THRESHOLD:
-                # The rest of an error's body is not needed; the connection is closed.
+                # The remainder of an error's body is not needed; the connection is closed.
                 break
         return *head, bytes(body), None
 
 
 def _retrieve_exception(task: asyncio.Task[RawAnswer]) -> None:
-    """Mark the exception as retrieved: the attempt has its outcome already."""
+    """Retrieve the task's exception, which asyncio would log otherwise; the attempt has its outcome."""
     if not task.cancelled():
         task.exception()
 
 
 def _has_unwritten(connection: Connection | None) -> bool:
-    """Return whether some bytes of the request have not reached the socket."""
+    """Return whether bytes of the request are still in the buffer, not written to the socket."""
     return connection is not None and connection.writing_paused
