--- a/coraldeal/net/wire.py
+++ b/coraldeal/net/wire.py
@@ -27,10 +27,12 @@
 LOAD_PATH = "/status/load"
 LIST_PATH = "/v1/endpoints"
 
-# Bytes up to which an answer is buffered whole, and up to which a request body always is.
+# A request body of up to this many bytes is always buffered whole, and so is an answer that announces no
+# more; longer answers, and those of unknown length, may be streamed.
 STREAMING_THRESHOLD = 64 * 1024
 
 CONDITION_BY_LIFECYCLE = {"Ready": Condition.READY, "Terminating": Condition.DRAINING, "Gone": Condition.GONE}
+# Microseconds in each unit of a duration.
 UNIT_US = {"m": 1000, "u": 1}
 METHODS = ("GET", "POST", "HEAD")
 
@@ -52,8 +54,8 @@
 # The tokens that delimit an object in a stream of JSON: whole strings, braces, and the opening quote of a
 # string that is still incomplete.
 _DELIMITERS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}"]', re.DOTALL)
-# The largest object of a watch, in bytes, so that a faulty source can't use up the memory. A list of ten
-# thousand servers has about two million bytes.
+# The largest permitted object of a watch, in bytes, so that a faulty source can't use up the memory. A list
+# of ten thousand servers has about two million bytes.
 MAX_OBJECT_BYTES = 16 * 1024 * 1024
 
 _DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,9})?)([mu])")
@@ -156,7 +158,7 @@
 
 
 def path_of(target: str) -> str:
-    """Return the path and query of a request target, also of one in absolute form."""
+    """Return the path and query of a request target, which may be in absolute form (http://host/path)."""
     if target[:7].lower() == "http://":
         return "/" + target[7:].partition("/")[2]
     return target
@@ -174,7 +176,7 @@
     target = path_of(target)
     request_class = request_class_of(target)
     if not target.startswith("/") or request_class not in request_classes:
-        raise InvalidRequestError(404, "the first part of the path names no class of request known here")
+        raise InvalidRequestError(404, "the first segment of the path is no configured request class")
     if method not in METHODS:
         raise InvalidRequestError(405, "the method is none of GET, POST and HEAD")
     request_id = fields.get("Req-Id", "").strip()
@@ -211,8 +213,8 @@
 ) -> tuple[Outcome, Answer]:
     """Return an attempt's outcome and the caller's answer, from a server's answer."""
     if status == 200:
-        kept = _without(raw, NOT_FORWARDED_TO_CALLERS)
-        headers = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in kept)
+        forwarded = _without(raw, NOT_FORWARDED_TO_CALLERS)
+        headers = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in forwarded)
         return Outcome.SERVED, Answer(200, body, headers, body_stream)
     declined = status in (503, 504) and fields.get("Srv-Declined") == "1"
     return (Outcome.FULL if declined else Outcome.ERROR), Answer(status)
@@ -224,9 +226,9 @@
         return None
     report = {}
     for pair in text.split(","):
-        name, _, figure = pair.partition("=")
+        name, _, value = pair.partition("=")
         try:
-            number = float(figure)
+            number = float(value)
         except ValueError:
             continue
         if 0 <= number < math.inf:
@@ -235,7 +237,7 @@
 
 
 def rejection(retry_after_us: int) -> Answer:
-    """Return the answer of a rejected request: a retry is safe, at best after this time (0: no advice)."""
+    """Return the answer of a rejected request: a retry is safe, best after this time (0: unknown)."""
     return Answer(
         503, headers=(("Retry-After", f"{retry_after_us / 1e6:.3f}"),) if retry_after_us > 0 else ()
     )
@@ -264,21 +266,22 @@
 
 
 class JsonObjectStream:
-    """Splits a stream of bytes into JSON objects, independent of how it is cut into pieces or lines."""
+    """Splits a stream of bytes into JSON objects, however the stream is cut into pieces and lines."""
 
     __slots__ = ("buffer", "has_started", "open_braces", "scanned")
 
     def __init__(self) -> None:
-        # The bytes of the incomplete object, how many of them were scanned, how many braces are open there,
-        # and whether the object has started: white space between objects starts none.
+        # The bytes of the incomplete object.
         self.buffer = b""
+        # How many of these bytes were scanned, and how many braces are open after them.
         self.scanned = self.open_braces = 0
+        # Whether the object has started; white space between objects belongs to none.
         self.has_started = False
 
     def feed(self, piece: bytes) -> Iterator[bytes]:
         """Yield each object that this piece completes.
 
-        Raises ValueError behind them if an object doesn't start with a brace or exceeds MAX_OBJECT_BYTES.
+        After them, raises ValueError if an object doesn't start with a brace or exceeds MAX_OBJECT_BYTES.
         """
         self.buffer += piece
         while self._skip_blanks() and (end := self._find_end()) > 0:
@@ -298,13 +301,13 @@
 
     def _find_end(self) -> int:
         """Return the end of the object that has started, or 0 if it is incomplete; resumes the last scan."""
-        for found in _DELIMITERS.finditer(self.buffer, self.scanned):
-            sign = found[0]
-            if sign == b'"':
-                self.scanned = found.start()
+        for delimiter in _DELIMITERS.finditer(self.buffer, self.scanned):
+            token = delimiter[0]
+            if token == b'"':
+                self.scanned = delimiter.start()
                 return 0
-            self.scanned = found.end()
-            self.open_braces += (sign == b"{") - (sign == b"}")
+            self.scanned = delimiter.end()
+            self.open_braces += (token == b"{") - (token == b"}")
             if not self.open_braces:
                 return self.scanned
         return 0
@@ -325,7 +328,7 @@
             server=str(item["instanceId"]),
             zone=str(item.get("zone") or ""),
             cell=int(item.get("cell") or 0),
-            # An unknown state must not end the watch; a server not said to be ready gets nothing new.
+            # An unknown lifecycle state must not end the watch: such a server gets no new requests.
             condition=CONDITION_BY_LIFECYCLE.get(item["lifecycle"], Condition.DRAINING),
             started_at_us=max(1, started * 1000 - offset_us) if started else 0,
             size=_parse_size(item.get("weight")),
