--- a/coraldeal/net/discovery.py
+++ b/coraldeal/net/discovery.py
@@ -16,17 +16,20 @@
 
 # Seconds without data after which a watch counts as dead: discovery sends a line every 2 s. A change that a
 # silent watch has missed must take effect within 6 s of the watch's last data, and any change within 6 s of
-# the time at which discovery has it and is reachable, whatever failed before. docs/endings.md has the sums.
+# the time at which discovery has it and is reachable, whatever failed before. docs/endings.md has the
+# calculation.
 LIVENESS_TIMEOUT = 2.5
 # Seconds without an answer after which a call counts as hung: discovery handles calls one after another, and
 # itself fails those that have waited for 2 to 3 s.
 ANSWER_TIMEOUT = 3.05
-# Seconds after which a hung call is cancelled. Until then it stays open: a written answer counts as received.
+# Seconds after which a hung call is cancelled. Until then it stays open, since an answer that discovery has
+# written counts as received.
 MAX_CALL_TIME = 10.0
 # Seconds that a connection may take to be established.
 CONNECT_TIMEOUT = 0.6
-# Seconds between additional calls beside hung ones, and the largest number of calls in flight: at discovery,
-# which all nodes share, and at a node's own agent, whose changes are in force as soon as it is reachable.
+# Seconds between extra calls beside hung ones, and the largest number of calls in flight: first for a
+# discovery that all nodes share, then for a node's own agent, whose changes are in force as soon as it is
+# reachable.
 EXTRA_CALL_AFTER, MAX_CALLS = 1.5, 2
 EXTRA_CALL_AFTER_AT_AGENT, MAX_CALLS_AT_AGENT = 0.75, 5
 # A call that fails after this many seconds is repeated at once.
@@ -52,7 +55,7 @@
 
 
 def call_limits(has_agent: bool, has_sources: bool) -> CallLimits:
-    """Return the limits of list calls, by where the list comes from. Several sources are tried one by one."""
+    """Return the limits of list calls, by where the list comes from. Several sources are called in turn."""
     extra_after, max_count = (
         (EXTRA_CALL_AFTER_AT_AGENT, MAX_CALLS_AT_AGENT) if has_agent else (EXTRA_CALL_AFTER, MAX_CALLS)
     )
@@ -100,7 +103,7 @@
         self.total_calls = 0
         # The timer of the next scheduled call.
         self.next_call: asyncio.TimerHandle | None = None
-        # Sources that have failed in a row.
+        # How many sources have failed in a row.
         self.failed_sources = 0
         # Calls failed since a list was last received, since when, and when the last of them was logged.
         self.failed_calls = 0
@@ -252,7 +255,7 @@
     def _switch_source(self, call: ListCall, end: CallEnd) -> None:
         """Continue at the next source after a random delay, since all followers of the source do the same.
 
-        A failure is reported after each source has failed in turn.
+        A failure is reported once all sources have failed in turn.
         """
         assert self.address is not None
         has_list = call.version != call.requested_version
@@ -269,19 +272,19 @@
     # Logging.
 
     def _count_failure(self, call: ListCall, reason: str) -> None:
-        """Count a failed call and log it: each one up to a number in a row, then one per interval."""
+        """Count a failed call and log it: each of the first in a row, then one per FAILURE_LOG_INTERVAL."""
         now = asyncio.get_running_loop().time()
         if not self.failed_calls:
             self.failing_since = call.started_at
         self.failed_calls += 1
         self.total_failed_calls += 1
         is_repeated = call.is_invalid and reason == self.last_parse_error
-        is_due = (
+        may_log = (
             self.failed_calls <= MAX_FAILURES_LOGGED or now - self.failure_logged_at >= FAILURE_LOG_INTERVAL
         )
-        if is_due and not is_repeated:
+        if may_log and not is_repeated:
             self.failure_logged_at = now
-        level = logging.INFO if is_due and not is_repeated else logging.DEBUG
+        level = logging.INFO if may_log and not is_repeated else logging.DEBUG
         self.last_parse_error = reason if call.is_invalid else ""
         self._log("list call failed", call, reason, level)
 
@@ -295,15 +298,15 @@
         log.log(level, event, extra={"pairs": {"why": reason, **self._call_pairs(call)}})
 
     def _call_pairs(self, call: ListCall) -> dict[str, object]:
-        """Return what identifies a call in log lines, with the number of other open calls."""
-        lasted = asyncio.get_running_loop().time() - call.started_at
-        others = len(self.calls) + len(self.superseded) - (call.number in self.calls)
+        """Return the pairs that describe a call in log lines, with the number of other open calls."""
+        duration = asyncio.get_running_loop().time() - call.started_at
+        other_calls = len(self.calls) + len(self.superseded) - (call.number in self.calls)
         return {
             "call": call.number,
             "address": call.address,
             "version": call.version,
-            "call_ms": int(lasted * 1000),
-            "others_out": others,
+            "call_ms": int(duration * 1000),
+            "others_out": other_calls,
             "failed_calls": self.failed_calls,
         }
 
