--- a/coraldeal/net/list_call.py
+++ b/coraldeal/net/list_call.py
@@ -18,7 +18,8 @@
 
 T = TypeVar("T")
 
-# Bytes from which on a piece of an incomplete object counts as a sign of life: a long list may take its time.
+# The size in bytes from which a piece of an incomplete object counts as a sign of life, since a long list
+# takes a while to arrive.
 LIVENESS_PIECE_BYTES = 16 * 1024
 # Seconds until the liveness timeout is checked again if unread bytes lay in the socket when it expired.
 UNREAD_RECHECK = 0.1
@@ -28,19 +29,19 @@
 class CallTimeouts:
     """Time limits of a call, in seconds."""
 
-    # For the connection.
+    # To establish the connection.
     connect: float
-    # From the start to the first object.
+    # From the start of the call to the first object.
     first_object: float
-    # Without a sign of life from a watch.
+    # Between two signs of life of a watch.
     liveness: float
-    # From the start to the head of the answer.
+    # From the start of the call to the head of the answer.
     answer: float
 
 
 @dataclass(frozen=True, slots=True)
 class CallEnd:
-    """How a call or watch ended, other than by the node's cancelling it."""
+    """How a call or watch ended that the node didn't cancel."""
 
     reason: str
     liveness_expired: bool
@@ -64,7 +65,7 @@
 
     @property
     def parse(self) -> Callable[[bytes], ServerList]:
-        """Parses a list; raises ValueError, KeyError, TypeError or AttributeError if the bytes are none."""
+        """The parser of a list; raises ValueError, KeyError, TypeError or AttributeError for other bytes."""
 
     def list_received(self, call: ListCall, update: ServerList, is_older: bool) -> None:
         """Handle a snapshot or delta; `is_older`: its version is older than the previous one's."""
@@ -189,8 +190,8 @@
             self.version = update.version
             self.host.list_received(self, update, is_older)
             if is_older:
-                # Discovery was set back: the changes don't follow on the list that the node has, and the
-                # missing ones would never arrive.
+                # Discovery went back to an older version: its changes don't continue the list that the node
+                # has, and the changes in between would never arrive.
                 raise aiohttp.ClientPayloadError(f"its versions went back to {update.version}")
         return count
 
