--- a/coraldeal/net/node.py
+++ b/coraldeal/net/node.py
@@ -38,15 +38,16 @@
 DESCRIPTOR_RESERVE = 96
 # Seconds after SIGTERM for which new connections are accepted.
 ACCEPT_AFTER_SIGTERM = 0.55
-# After SIGTERM, the platform kills a node 0.7 s after the longest deadline, of which it counts at most
-# MAX_DRAIN_DEADLINE seconds. Open inquiries are answered by DRAIN_SLACK seconds after that deadline, since a
-# node with only a fraction of a core runs late.
+# The platform kills a node 0.7 s after its longest deadline, counted from SIGTERM; a deadline above
+# MAX_DRAIN_DEADLINE seconds counts as that. The node answers its open inquiries by DRAIN_SLACK seconds after
+# the deadline, since a node with only a fraction of a core runs late.
 MAX_DRAIN_DEADLINE = 3.0
 DRAIN_SLACK = 0.55
 # The interval in seconds of checks of the event loop's lag, and the lag from which on it is logged.
 LAG_CHECK_INTERVAL, LAG_THRESHOLD = 0.5, 0.1
-# Seconds until a pushed list is watched again. A change counts as received as soon as the node's agent has it
-# and is reachable, with or without a watch, so this delay must not use up the grace period of a drain.
+# The smallest and largest delay in seconds until a failed watch of a pushed list is opened again; it doubles
+# with each failure. A change counts as received as soon as the node's agent has it and is reachable, with or
+# without a watch, so this delay must not use up the grace period of a drain.
 MIN_REWATCH_DELAY, MAX_REWATCH_DELAY = 0.1, 0.4
 
 # The number of servers that a log line names.
@@ -70,7 +71,7 @@
 
 
 def _abbreviate(servers: Sequence[ServerId]) -> str:
-    """Return the first few names, and the number of the others."""
+    """Return the first MAX_SERVERS_NAMED names, and the number of the others."""
     more = len(servers) - MAX_SERVERS_NAMED
     return ",".join(servers[:MAX_SERVERS_NAMED]) + (f",+{more}" if more > 0 else "")
 
@@ -116,9 +117,9 @@
         deadlines = {
             request_class.name: request_class.deadline_us for request_class in settings.request_classes
         }
-        live = self.inquiries.handle_inquiry
+        handle_inquiry = self.inquiries.handle_inquiry
         self.callers = Callers(
-            deadlines, live, self._is_ready, self._is_crowded, self._make_room, self.counters
+            deadlines, handle_inquiry, self._is_ready, self._is_crowded, self._make_room, self.counters
         )
         # An accepted connection holds its descriptor for four loop iterations before the idle one that makes
         # room for it is closed: with this limit, a burst uses up a sixth of the reserve.
@@ -136,7 +137,9 @@
         self.host = LoopHost(self.inquiries, self.discovery)
         self.balancer = Balancer(self.host, settings, config.seed)
         self.host.balancer = self.inquiries.balancer = self.balancer
+        # Seconds, before a random factor, until a pushed list is watched again after a failure.
         self.rewatch_delay = MIN_REWATCH_DELAY
+        # How many random numbers were drawn; each is computed from the seed and this number.
         self.random_draws = 0
         self.rewatch_timer: asyncio.TimerHandle | None = None
         # Whether any list was received: from the configuration, the predecessor process or discovery.
@@ -163,16 +166,16 @@
     async def run(self) -> None:
         """Run the node until SIGTERM or SIGINT has been handled."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop_requested.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stop_requested.set)
         # Without a handler, SIGHUP would end the process.
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         # `serve` blocks these signals until their handlers are installed; pending ones arrive now.
         signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGTERM, signal.SIGHUP))
         if self.config.known_list is not None:
-            known = _parse_list(self.config.known_list)
-            self.discovery.version = known.version
-            self.apply_list(known, ListKind.REMEMBERED)
+            known_list = _parse_list(self.config.known_list)
+            self.discovery.version = known_list.version
+            self.apply_list(known_list, ListKind.REMEMBERED)
         if not self.config.settings.list_is_pulled:
             self.discovery.follow()
         if self.config.peers is not None:
@@ -245,7 +248,7 @@
             self.discovery.change_address(new.discovery)
         if not new.settings.list_is_pulled:
             self.discovery.follow()
-        # All other settings shaped objects created at the start.
+        # The other settings were used when the node was created, so a change of them needs a restart.
         needs_restart = [key for key in RESTART_KEYS if getattr(new, key) != getattr(old, key)]
         pairs = {"discovery": new.discovery, "sockets": new.sockets, "needs_restart": ",".join(needs_restart)}
         log.info("configuration read anew", extra={"pairs": pairs})
@@ -307,7 +310,7 @@
         return self.phase is Phase.READY
 
     def _check_lag(self, scheduled_at: float) -> None:
-        """Log an event loop that runs late, so that its delays aren't attributed to the decisions."""
+        """Log a warning if the event loop runs late, so that the decisions aren't blamed for its delays."""
         loop = asyncio.get_running_loop()
         lateness = loop.time() - scheduled_at
         if lateness > LAG_THRESHOLD:
@@ -321,7 +324,7 @@
     # Descriptors.
 
     def set_share(self, share: float) -> None:
-        """Limit this process to a share of the node's limits, while two processes serve as this node."""
+        """Limit this process to a fraction of the node's limits, while two processes serve as this node."""
         self.share = share
         self._set_descriptor_limit(self.config.sockets)
         self.balancer.set_share(share)
@@ -377,7 +380,7 @@
         if self.config.settings.list_is_pulled:
             self.balancer.list_failed()
             return
-        # The decisions don't request a list that is pushed, so the watch is renewed here.
+        # The decisions don't request a pushed list, so the watch is renewed here.
         self.random_draws += 1
         random_fraction = crc32(f"{self.config.seed} watch {self.random_draws}".encode()) / 2**32
         if self.rewatch_timer is not None:
