--- a/coraldeal/net/peer_transport.py
+++ b/coraldeal/net/peer_transport.py
@@ -1,7 +1,7 @@
 """Exchanges peer messages as datagrams, one message each. Imported only if the configuration names `peers`.
 
-Datagrams may be lost, duplicated or late, which the decisions allow for. Invalid datagrams, and those from an
-address of no node, are counted and ignored; the first of each is logged.
+Datagrams may be lost, duplicated or late; the decisions tolerate that. Invalid datagrams, and those from an
+address that isn't a node's, are counted and ignored; the first of each kind is logged.
 """
 
 from __future__ import annotations
@@ -77,7 +77,10 @@
             self.transport.close()
 
     def send(self, peer: int, message: PeerMessage) -> None:
-        """Send a message to a node; drop it if the send buffer is full, since later messages replace it."""
+        """Send a message to a node, or count it as unsent if the socket isn't bound or its buffer is full.
+
+        An unsent message isn't kept, since later messages replace it.
+        """
         transport = self.transport
         if transport is None or transport.is_closing() or self.is_paused:
             self.unsent += 1
@@ -103,11 +106,11 @@
         self.on_message(index, message)
 
     def pause_writing(self) -> None:
-        """Drop messages from now on: the send buffer is full."""
+        """Stop sending, since the send buffer is full: messages are dropped."""
         self.is_paused = True
 
     def resume_writing(self) -> None:
-        """Send messages again."""
+        """Resume sending messages."""
         self.is_paused = False
 
     def error_received(self, exc: Exception) -> None:
