--- a/coraldeal/peer_messages.py
+++ b/coraldeal/peer_messages.py
@@ -1,15 +1,16 @@
 """Encodes messages between nodes as bytes, the same on the simulator's wire and on sockets.
 
-A message has one byte for its kind, three for the server's tag and one for the attempts. A reply adds the
-limit in quarters of an attempt. The end of an attempt adds the attempts in flight at its start, and its
-latency in milliseconds in two bytes. The first byte is the only version: data with an unknown kind, or whose
-length is not that of its kind, is no message.
+A message has one byte for its kind, three for the server's tag and one for the number of attempts. A reply
+adds one byte for the limit, in quarters of an attempt. The end of an attempt adds one byte for the number of
+attempts in flight at its start, and two for its latency in milliseconds. The kind is also the only version:
+data of an unknown kind, or whose length is not that of its kind, is not a valid message.
 """
 
 from __future__ import annotations
 
 from coraldeal.interface import PeerMessage, PeerMessageKind
 
+# The length of a message in bytes, by its kind.
 LENGTHS = {
     PeerMessageKind.ASK: 5,
     PeerMessageKind.ANSWER: 6,
