--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -27,7 +27,7 @@
 )
 
 GET = b"GET /read/1 HTTP/1.1\r\nHost: s\r\nReq-Id: 1\r\nContent-Length: 0\r\n\r\n"
-# Bytes of a body that exceeds the socket buffers of both ends, so that part of it stays unwritten.
+# The size of a body that exceeds the socket buffers of both ends, so that some of it stays unwritten.
 LARGE = 64 << 20
 SECOND = 1_000_000
 
@@ -42,9 +42,9 @@
     iterated = 0
 
     def _count(self, entries: Any) -> Iterator[Any]:
-        for each in entries:
+        for one_entry in entries:
             self.iterated += 1
-            yield each
+            yield one_entry
 
     def __iter__(self) -> Iterator[Any]:
         return self._count(super().__iter__())
@@ -97,8 +97,8 @@
             writer.write(replies[len(server.seen) - 1])
 
         server = await self.stand_in(play)
-        ends = [(await self.attempt()).outcome for _ in replies]
-        self.assertEqual(ends, [Outcome.ERROR, Outcome.FULL, Outcome.ERROR])
+        outcomes = [(await self.attempt()).outcome for _ in replies]
+        self.assertEqual(outcomes, [Outcome.ERROR, Outcome.FULL, Outcome.ERROR])
         self.assertEqual(len(server.seen), 3, "a redirect was followed")
 
     async def test_body_with_a_content_encoding_is_forwarded_unchanged(self) -> None:
@@ -128,37 +128,38 @@
         self.assertIs((await self.attempt()).outcome, Outcome.CONNECT_FAILED)
 
     async def test_connection_that_is_never_established_fails_after_the_connect_timeout(self) -> None:
-        full = socket.socket()
-        self.addCleanup(full.close)
-        full.bind(("127.0.0.1", 0))
-        full.listen(0)
+        # With the listener's backlog full, the system answers no further connection request.
+        listener = socket.socket()
+        self.addCleanup(listener.close)
+        listener.bind(("127.0.0.1", 0))
+        listener.listen(0)
         for _ in range(4):
-            filling = socket.socket()
-            self.addCleanup(filling.close)
-            filling.setblocking(False)
-            filling.connect_ex(full.getsockname())
-        self.servers.update_endpoints([ListEntry(entry("s"), f"127.0.0.1:{full.getsockname()[1]}")])
+            client = socket.socket()
+            self.addCleanup(client.close)
+            client.setblocking(False)
+            client.connect_ex(listener.getsockname())
+        self.servers.update_endpoints([ListEntry(entry("s"), f"127.0.0.1:{listener.getsockname()[1]}")])
         end = await self.attempt()
         self.assertIs(end.outcome, Outcome.CONNECT_FAILED)
         self.assertGreaterEqual(end.latency_us, SECOND // 5 - 2000)
 
     async def end_partly_written(self, after: str) -> tuple[AttemptEnd, int]:
-        """Send a large message to a server that reads part of it before the attempt ends.
+        """Send a large message to a server that has read only its beginning when the attempt ends.
 
-        `after` says how it ends: "reset", "time" or "stop". Returns the attempt's end and the number of bytes
-        that the server received in all.
+        `after` states the cause of the end: "reset" by the server, "time" for a timeout, or "stop" for a
+        cancellation. Returns the attempt's end and the total number of bytes that the server received.
         """
         received = 0
-        has_started = asyncio.Event()
-        read_on = asyncio.Event()
+        first_read = asyncio.Event()
+        may_continue = asyncio.Event()
 
-        async def talk(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def read_part(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             nonlocal received
             received += len(await reader.read(1000))
-            has_started.set()
+            first_read.set()
             if after == "reset":
                 writer.transport.abort()
-            await read_on.wait()
+            await may_continue.wait()
             try:
                 while data := await reader.read(1 << 20):
                     received += len(data)
@@ -168,7 +169,7 @@
             writer.close()
 
         finished = asyncio.Event()
-        server = await asyncio.start_server(talk, "127.0.0.1", 0)
+        server = await asyncio.start_server(read_part, "127.0.0.1", 0)
         self.addCleanup(server.close)
         self.servers.update_endpoints(
             [ListEntry(entry("s"), f"127.0.0.1:{server.sockets[0].getsockname()[1]}")]
@@ -176,11 +177,11 @@
         attempt = asyncio.create_task(
             self.attempt(post(LARGE), SECOND // 5 if after == "time" else 5 * SECOND)
         )
-        await has_started.wait()
+        await first_read.wait()
         if after == "stop":
             attempt.cancel()
         end = await attempt
-        read_on.set()
+        may_continue.set()
         await finished.wait()
         return end, received
 
@@ -244,13 +245,13 @@
 
     async def test_bytes_behind_a_valid_answer_are_not_taken_for_the_next_answer(self) -> None:
         good = answer(200, b"good", "Srv-Load: queue=2")
-        early = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
+        interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n"
         for data, later in (
             (good + answer(200, b"copy"), b""),
             (good + b"\x00\xffnoise\r\n\r\n", b""),
             (good, answer(200, b"copy")),
             (good, b"\x00noise"),
-            (early + good + good, b""),
+            (interim + good + good, b""),
         ):
             with self.subTest(data=data, later=later):
                 server, end = await self.answer_raw(data, later)
@@ -277,81 +278,85 @@
     def expected_update(
         self, endpoints: dict[str, str], listed: list[ListEntry], is_snapshot: bool
     ) -> list[str]:
-        """Apply a list to the addresses by server as `update_endpoints` should; return the replaced servers.
+        """Update the addresses by server as `update_endpoints` should; return the replaced servers.
 
-        A plain implementation that searches all servers each time.
+        A simple reference implementation, which searches all servers for each entry.
         """
-        states = {one.server: (one.condition, address) for one, address in listed}
+        updates = {listed_entry.server: (listed_entry.condition, address) for listed_entry, address in listed}
         for server in list(endpoints):
-            if states.get(server, (Condition.GONE if is_snapshot else None, ""))[0] is Condition.GONE:
+            if updates.get(server, (Condition.GONE if is_snapshot else None, ""))[0] is Condition.GONE:
                 del endpoints[server]
         replaced = []
-        for server, (condition, address) in states.items():
+        for server, (condition, address) in updates.items():
             if condition is Condition.GONE or not address or endpoints.get(server) == address:
                 continue
             endpoints.pop(server, None)
-            for other in [name for name, at in endpoints.items() if at == address]:
+            for other in [name for name, other_address in endpoints.items() if other_address == address]:
                 del endpoints[other]
                 replaced.append(other)
             endpoints[server] = address
         return replaced
 
     async def test_random_lists_are_applied_as_by_a_search_of_all_servers(self) -> None:
-        draw = Random(1)
+        rng = Random(1)
         endpoints: dict[str, str] = {}
         conditions = (*[Condition.READY] * 4, Condition.DRAINING, Condition.GONE)
         for turn in range(400):
             listed = [
                 ListEntry(
-                    entry(f"s{draw.randrange(12)}", draw.choice(conditions)),
-                    draw.choice(("", *[f"127.0.0.1:{draw.randrange(1, 9)}"] * 5)),
+                    entry(f"s{rng.randrange(12)}", rng.choice(conditions)),
+                    rng.choice(("", *[f"127.0.0.1:{rng.randrange(1, 9)}"] * 5)),
                 )
-                for _ in range(draw.choice((1, 2, 12)))
+                for _ in range(rng.choice((1, 2, 12)))
             ]
-            is_snapshot = draw.random() < 0.1
+            is_snapshot = rng.random() < 0.1
             with self.subTest(turn=turn):
                 replaced = self.servers.update_endpoints(listed, is_snapshot)
                 self.assertEqual(replaced, self.expected_update(endpoints, listed, is_snapshot))
-                now = {name: target.address for name, target in self.servers.endpoints.items()}
-                self.assertEqual(list(now.items()), list(endpoints.items()))
+                addresses = {name: endpoint.address for name, endpoint in self.servers.endpoints.items()}
+                self.assertEqual(list(addresses.items()), list(endpoints.items()))
 
     async def test_applying_a_delta_iterates_over_no_other_server(self) -> None:
-        def line(number: int, port: int) -> ListEntry:
+        def list_entry(number: int, port: int) -> ListEntry:
             return ListEntry(entry(f"s{number}"), f"127.0.0.1:{port}")
 
         count = 500
         endpoints = self.servers.endpoints = CountingDict()
         self.servers.update_endpoints(
-            [line(number, 1000 + number) for number in range(count)], is_snapshot=True
+            [list_entry(number, 1000 + number) for number in range(count)], is_snapshot=True
         )
         self.servers.update_endpoints(
-            [line(number, 1000 + number) for number in range(count)], is_snapshot=True
+            [list_entry(number, 1000 + number) for number in range(count)], is_snapshot=True
         )
         self.assertLessEqual(endpoints.iterated, 2 * count)
         endpoints.iterated = 0
-        self.assertEqual(self.servers.update_endpoints([line(count, 1007)]), ["s7"])
+        self.assertEqual(self.servers.update_endpoints([list_entry(count, 1007)]), ["s7"])
         self.servers.update_endpoints([ListEntry(entry("s8", Condition.DRAINING), "127.0.0.1:1008")])
         self.servers.update_endpoints([ListEntry(entry("s9", Condition.GONE), "")])
         self.assertEqual(endpoints.iterated, 0, "a delta iterates over other servers")
         self.assertEqual(len(endpoints), count - 1)
 
     async def test_longest_idle_connection_is_closed_first_without_iterating_over_servers(self) -> None:
-        ends = {name: await StandIn(serve_well).start() for name in ("a", "b", "c")}
-        for end in ends.values():
-            self.addCleanup(end.stop)
-        self.servers.update_endpoints([ListEntry(entry(name), end.address) for name, end in ends.items()])
-        self.servers.update_endpoints([ListEntry(entry(f"s{i}"), f"127.0.0.1:{i + 1}") for i in range(100)])
+        stand_ins = {name: await StandIn(serve_well).start() for name in ("a", "b", "c")}
+        for stand_in in stand_ins.values():
+            self.addCleanup(stand_in.stop)
+        self.servers.update_endpoints(
+            [ListEntry(entry(name), stand_in.address) for name, stand_in in stand_ins.items()]
+        )
+        self.servers.update_endpoints(
+            [ListEntry(entry(f"s{number}"), f"127.0.0.1:{number + 1}") for number in range(100)]
+        )
         for name in ("b", "c", "a", "b"):
             await self.servers.attempt(name, GET, 5 * SECOND)
             # Longer than the settle time, so that the next attempt at this server reuses the connection.
             await asyncio.sleep(0.02)
         endpoints = self.servers.endpoints = CountingDict(self.servers.endpoints)
-        left = list(ends)
+        remaining = list(stand_ins)
         for name in ("c", "a", "b"):
             self.assertTrue(self.servers.close_one_idle())
-            left = [one for one in left if one != name]
-            self.assertEqual([one for one in ends if endpoints[one].idle], sorted(left))
-        await until(lambda: all(end.closed == 1 for end in ends.values()))
+            remaining = [other for other in remaining if other != name]
+            self.assertEqual([other for other in stand_ins if endpoints[other].idle], sorted(remaining))
+        await until(lambda: all(stand_in.closed == 1 for stand_in in stand_ins.values()))
         self.assertFalse(self.servers.close_one_idle())
         self.servers.sweeper.cancel()
         self.servers._sweep()
@@ -370,19 +375,21 @@
     async def test_connection_used_last_is_reused_and_idle_ones_are_closed_before_the_server_does(
         self,
     ) -> None:
-        let_go = asyncio.Event()
+        both_arrived = asyncio.Event()
 
-        async def together(seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def answer_both(
+            seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             ports.append(writer.get_extra_info("peername")[1])
             if len(ports) == 2:
-                let_go.set()
-            await let_go.wait()
+                both_arrived.set()
+            await both_arrived.wait()
             if len(ports) == 2 and writer.get_extra_info("peername")[1] == ports[1]:
                 await asyncio.sleep(0.02)
             writer.write(answer())
 
         ports: list[int] = []
-        server = await self.stand_in(together)
+        server = await self.stand_in(answer_both)
         await asyncio.gather(self.attempt(), self.attempt())
         await asyncio.sleep(0.05)
         await self.attempt()
