--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -22,16 +22,16 @@
 
 
 def request(target: str = "/checkout/7?a=%2F", body: bytes = b"", **fields: str) -> wire.CallerRequest:
-    named = {name.replace("_", "-"): value for name, value in {"Req_Id": "ab", **fields}.items()}
-    raw = [(name.encode(), value.encode()) for name, value in named.items()]
-    return wire.parse_request("POST", target, named, raw, body, REQUEST_CLASSES)
+    all_fields = {name.replace("_", "-"): value for name, value in {"Req_Id": "ab", **fields}.items()}
+    raw = [(name.encode(), value.encode()) for name, value in all_fields.items()]
+    return wire.parse_request("POST", target, all_fields, raw, body, REQUEST_CLASSES)
 
 
 class Requests(unittest.TestCase):
     def test_header_fields_are_parsed(self) -> None:
-        read = request(Req_Deadline="480m", Req_Retry="1", Req_Owner="t1")
+        parsed = request(Req_Deadline="480m", Req_Retry="1", Req_Owner="t1")
         self.assertEqual(
-            (read.request_class, read.time_left_us, read.is_retry, read.tenant),
+            (parsed.request_class, parsed.time_left_us, parsed.is_retry, parsed.tenant),
             ("checkout", 480_000, True, "t1"),
         )
         self.assertEqual(request(Req_Deadline="1500u").time_left_us, 1500)
@@ -40,7 +40,7 @@
         self.assertEqual((plain.time_left_us, plain.is_retry, plain.tenant), (None, False, None))
 
     def test_other_fields_and_the_body_are_forwarded_unchanged(self) -> None:
-        read = request(
+        parsed = request(
             body=b"\x00raw",
             Idempotency_Key="K",
             X_Odd="v  w",
@@ -49,7 +49,7 @@
             Req_Deadline="9m",
         )
         self.assertEqual(
-            read.encode_attempt(1_234_567),
+            parsed.encode_attempt(1_234_567),
             b"POST /checkout/7?a=%2F HTTP/1.1\r\nReq-Id: ab\r\nIdempotency-Key: K\r\nX-Odd: v  w\r\n"
             b"Req-Deadline: 1234567u\r\nContent-Length: 4\r\n\r\n\x00raw",
         )
@@ -96,8 +96,8 @@
             (b"Srv-Load", b"queue=1"),
             (b"ETag", b"e"),
         ]
-        update = wire.parse_answer(200, {}, raw, b"\xff")[1]
-        self.assertEqual(update, wire.Answer(200, b"\xff", (("Content-Type", "text/x"), ("ETag", "e"))))
+        forwarded = wire.parse_answer(200, {}, raw, b"\xff")[1]
+        self.assertEqual(forwarded, wire.Answer(200, b"\xff", (("Content-Type", "text/x"), ("ETag", "e"))))
 
     def test_load_report_is_parsed_and_invalid_values_are_skipped(self) -> None:
         self.assertEqual(
@@ -134,9 +134,9 @@
         )
         self.assertIs(update.servers[0].entry.condition, Condition.DRAINING)
         self.assertEqual(wire.parse_server_list(values, offset_us=0).servers[0].entry.kind, "")
-        shaped = {**values, "instances": [{**item, "machineType": "m2"}]}
-        self.assertEqual(wire.parse_server_list(shaped, offset_us=0).servers[0].entry.kind, "m2")
-        # A start before the clock's zero is not 0, which means long ago.
+        with_kind = {**values, "instances": [{**item, "machineType": "m2"}]}
+        self.assertEqual(wire.parse_server_list(with_kind, offset_us=0).servers[0].entry.kind, "m2")
+        # A start before the clock's zero becomes 1: 0 would mean long ago.
         self.assertEqual(
             wire.parse_server_list(values, offset_us=9_000_000).servers[0].entry.started_at_us, 1
         )
@@ -150,23 +150,29 @@
         )
 
     def test_missing_keys_have_their_defaults(self) -> None:
-        read = self.read()
-        self.assertEqual((read.name, read.host, read.port, read.discovery), ("node", "127.0.0.1", 80, None))
-        self.assertEqual((read.conn_idle_us, read.connect_timeout_us), (2_000_000, 200_000))
-        self.assertGreater(read.sockets, 0)
+        node_config = self.read()
+        self.assertEqual(
+            (node_config.name, node_config.host, node_config.port, node_config.discovery),
+            ("node", "127.0.0.1", 80, None),
+        )
+        self.assertEqual((node_config.conn_idle_us, node_config.connect_timeout_us), (2_000_000, 200_000))
+        self.assertGreater(node_config.sockets, 0)
 
     def test_environment_variables_override_keys(self) -> None:
         env = {"PROXY_NAME": "n3", "PROXY_LISTEN": "127.0.0.9:81", "PROXY_DISCOVERY": "127.0.0.1:85"}
-        read = self.read(env, name="n1", seed="ff", limits={"sockets": 64})
+        node_config = self.read(env, name="n1", seed="ff", limits={"sockets": 64})
         self.assertEqual(
-            (read.name, read.host, read.port, read.discovery), ("n3", "127.0.0.9", 81, "127.0.0.1:85")
+            (node_config.name, node_config.host, node_config.port, node_config.discovery),
+            ("n3", "127.0.0.9", 81, "127.0.0.1:85"),
         )
-        self.assertEqual((read.seed, read.sockets), (255, 64))
+        self.assertEqual((node_config.seed, node_config.sockets), (255, 64))
 
     def test_request_classes_have_their_permitted_zones_and_kinds(self) -> None:
-        plain = SETTINGS["tracks"][0]
-        bound = {**plain, "name": "bound", "shapes_open": ["m2", "m1"], "allowed_in": ["a"]}
-        request_classes = self.read(settings={**SETTINGS, "tracks": [plain, bound]}).settings.request_classes
+        unrestricted = SETTINGS["tracks"][0]
+        restricted = {**unrestricted, "name": "bound", "shapes_open": ["m2", "m1"], "allowed_in": ["a"]}
+        request_classes = self.read(
+            settings={**SETTINGS, "tracks": [unrestricted, restricted]}
+        ).settings.request_classes
         self.assertEqual((request_classes[0].zones, request_classes[0].kinds), ((), ()))
         self.assertEqual((request_classes[1].zones, request_classes[1].kinds), (("a",), ("m1", "m2")))
 
@@ -197,10 +203,10 @@
 
 class CommandLine(unittest.TestCase):
     def run_main(self, *args: str) -> tuple[int, str]:
-        out = io.StringIO()
-        with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
+        output = io.StringIO()
+        with contextlib.redirect_stdout(output), contextlib.redirect_stderr(output):
             status = main(list(args))
-        return status, out.getvalue()
+        return status, output.getvalue()
 
     def test_version_is_printed(self) -> None:
         self.assertRegex(self.run_main("version")[1], r"^coraldeal \d+\.\d+")
@@ -231,10 +237,15 @@
 
 class Example(unittest.TestCase):
     def test_configuration_is_parsed(self) -> None:
-        read = read_node_config(os.path.join(os.path.dirname(__file__), "..", "example", "config.json"), {})
-        self.assertEqual([spec.name for spec in read.settings.request_classes], ["checkout", "browse"])
-        # A class that is not declared repeatable is not idempotent.
-        effects = [spec.effect for spec in read.settings.request_classes]
+        node_config = read_node_config(
+            os.path.join(os.path.dirname(__file__), "..", "example", "config.json"), {}
+        )
+        self.assertEqual(
+            [request_class.name for request_class in node_config.settings.request_classes],
+            ["checkout", "browse"],
+        )
+        # A class that states no effect is not idempotent.
+        effects = [request_class.effect for request_class in node_config.settings.request_classes]
         self.assertEqual(effects, [Effect.NOT_IDEMPOTENT, Effect.IDEMPOTENT])
-        known = wire.parse_server_list(read.known_list, offset_us=0).servers
-        self.assertEqual([listed.address for listed in known], ["127.0.0.1:9001", "127.0.0.1:9002"])
+        known_servers = wire.parse_server_list(node_config.known_list, offset_us=0).servers
+        self.assertEqual([listed.address for listed in known_servers], ["127.0.0.1:9001", "127.0.0.1:9002"])
