--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,8 +1,9 @@
 """Peer messages, and nodes with and without them in front of the same servers, as during a migration.
 
-Nodes of the old kind form a small pool and exchange no messages. Nodes of the new kind run beside each client
-process and exchange in-flight counts of servers. A kind that ignored the load of the other would starve it.
-All run on loopback; a server stand-in works on a few requests at once and queues the others.
+Guards against one kind of node starving the other, which happens if a kind ignores the load that the other
+puts on the servers. Nodes of the old kind form a small pool and exchange no messages. Nodes of the new kind
+run beside each client process and exchange in-flight counts of servers. All run on loopback; a server
+stand-in works on a few requests at once and queues the others.
 """
 
 from __future__ import annotations
@@ -23,25 +24,27 @@
 from coraldeal.peer_messages import LENGTHS, decode_message, encode_message
 from tests.standins import Message, RunningNode, StandIn, answer, config, entry, server_list, until
 
-# Requests that a server stand-in works on at once, and the seconds that each takes. Long enough that servers
-# are the bottleneck: at 20 ms this process was, and the effect of a greedy kind depended on the machine.
+# Requests that a server stand-in works on at once, and the seconds that each takes: long enough that servers
+# are the bottleneck. At 20 ms this process was, and the effect of a greedy kind depended on the machine.
 AT_ONCE = 2
 WORK = 0.1
-# Seconds between the requests of a client that has its answer: two thirds of the capacity of the servers.
+# Seconds from one request of a client to its next. All clients together use two thirds of the servers'
+# capacity.
 EVERY = 0.4
-# The minimum served fraction of either kind's requests, and its minimum ratio to the other's fraction.
+# The minimum fraction of each kind's requests that is served, and the minimum ratio of the lower of these
+# fractions to the higher.
 MIN_SERVED = 0.7
 MIN_RATIO = 0.7
 
 
 def free_ports(count: int) -> list[int]:
     """Return unused loopback ports for datagrams."""
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for one in held:
-        one.bind(("127.0.0.1", 0))
-    ports = [int(one.getsockname()[1]) for one in held]
-    for one in held:
-        one.close()
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for sock in sockets:
+        sock.bind(("127.0.0.1", 0))
+    ports = [int(sock.getsockname()[1]) for sock in sockets]
+    for sock in sockets:
+        sock.close()
     return ports
 
 
@@ -69,10 +72,10 @@
         )
 
     def test_invalid_bytes_are_no_message_and_raise_no_error(self) -> None:
-        chance = random.Random(7)
+        rng = random.Random(7)
         for length in range(20):
             for _ in range(200):
-                data = chance.randbytes(length)
+                data = rng.randbytes(length)
                 message = decode_message(data)
                 if message is not None:
                     self.assertEqual(len(encode_message(message)), length)
@@ -106,19 +109,19 @@
         self.assert_refused(7, True, "peers is not an object")
 
     def test_peer_messages_are_off_unless_peers_are_configured(self) -> None:
-        plain = config(server_list(1, True), bounds={"peers": True})
-        self.assertEqual((plain.peers, plain.settings.peers), (None, 0))
-        self.assertFalse(Balancer(mock.Mock(now=0), plain.settings, 1).has_peers)
+        without_peers = config(server_list(1, True), bounds={"peers": True})
+        self.assertEqual((without_peers.peers, without_peers.settings.peers), (None, 0))
+        self.assertFalse(Balancer(mock.Mock(now=0), without_peers.settings, 1).has_peers)
         peers = {"nodes": ["127.0.0.1:1", "127.0.0.1:2"], "self": 1}
-        named = config(server_list(1, True), peers=peers, bounds={"peers": True})
-        self.assertEqual((named.settings.peers, named.settings.peer_index), (2, 1))
+        with_peers = config(server_list(1, True), peers=peers, bounds={"peers": True})
+        self.assertEqual((with_peers.settings.peers, with_peers.settings.peer_index), (2, 1))
 
     def test_invalid_weight_counts_as_one(self) -> None:
         from coraldeal.net.wire import parse_server_list
 
         for weight, size in ((2.5, 2.5), (0, 1.0), (-1, 1.0), ("x", 1.0), (None, 1.0), (True, 1.0)):
-            line = {**entry("a", "127.0.0.1:1"), "weight": weight}
-            self.assertEqual(parse_server_list(server_list(1, True, line), 0).servers[0].entry.size, size)
+            server = {**entry("a", "127.0.0.1:1"), "weight": weight}
+            self.assertEqual(parse_server_list(server_list(1, True, server), 0).servers[0].entry.size, size)
 
 
 class PeerTransports(unittest.IsolatedAsyncioTestCase):
@@ -137,10 +140,10 @@
 
     async def test_messages_are_received_by_node_number_and_invalid_datagrams_ignored(self) -> None:
         transports, received = await self.open(2)
-        stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        with stranger, self.assertLogs("coraldeal.carrier") as logs:
+        unknown_sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        with unknown_sender, self.assertLogs("coraldeal.carrier") as logs:
             for _ in range(3):
-                stranger.sendto(
+                unknown_sender.sendto(
                     encode_message(PeerMessage(PeerMessageKind.SENT, 1, 1)), transports[0].nodes[0]
                 )
             transport = transports[1].transport
@@ -154,22 +157,24 @@
         self.assertEqual(len(logs.output), 2)
 
     async def test_address_in_use_is_tried_again(self) -> None:
-        (before, other), received = await self.open(2)
-        after = PeerTransport(before.nodes, 0, lambda peer, message: received[0].append((peer, message)))
-        self.addCleanup(after.close)
+        (predecessor, other), received = await self.open(2)
+        successor = PeerTransport(
+            predecessor.nodes, 0, lambda peer, message: received[0].append((peer, message))
+        )
+        self.addCleanup(successor.close)
         with mock.patch("coraldeal.net.peer_transport.BIND_RETRY_INTERVAL", 0.01):
-            await after.open()
-            self.assertIsNone(after.transport)
-            after.send(1, PeerMessage(PeerMessageKind.SENT, 1, 1))
-            self.assertEqual(after.unsent, 1)
-            before.close()
-            await until(lambda: after.transport is not None)
+            await successor.open()
+            self.assertIsNone(successor.transport)
+            successor.send(1, PeerMessage(PeerMessageKind.SENT, 1, 1))
+            self.assertEqual(successor.unsent, 1)
+            predecessor.close()
+            await until(lambda: successor.transport is not None)
         other.send(0, PeerMessage(PeerMessageKind.SENT, 9, 1))
         await until(lambda: received[0] == [(1, PeerMessage(PeerMessageKind.SENT, 9, 1))])
 
 
 class Server(StandIn):
-    """Works on a few requests at once; records the ids of those done, and the most it held at a time."""
+    """Works on a few requests at once; records the ids of those done, and how many it held at most."""
 
     def __init__(self) -> None:
         super().__init__(self.work)
@@ -205,40 +210,49 @@
         ports = [f"127.0.0.1:{port}" for port in free_ports(4)]
         nodes: list[tuple[str, RunningNode]] = []
         for number in range(2):
-            old = config(known, instances=6, self_index=number)
-            nodes.append(("old", await self.enterAsyncContext(RunningNode(old))))
+            old_config = config(known, instances=6, self_index=number)
+            nodes.append(("old", await self.enterAsyncContext(RunningNode(old_config))))
         for number in range(4):
             peers = {"nodes": ports, "self": number}
-            new = config(known, peers=peers, instances=6, self_index=2 + number, bounds={"peers": True})
-            nodes.append(("new", await self.enterAsyncContext(RunningNode(new))))
+            new_config = config(
+                known, peers=peers, instances=6, self_index=2 + number, bounds={"peers": True}
+            )
+            nodes.append(("new", await self.enterAsyncContext(RunningNode(new_config))))
         if greedy:
             # The new kind sends everything at once, ignoring in-flight counts and limits.
             for kind, running in nodes:
                 if kind == "new":
                     running.node.balancer._has_room = lambda *_: True  # type: ignore[method-assign]
                     running.node.balancer.has_peers = False
-                    for one in running.node.balancer.servers.values():
-                        one.concurrency_limit = 10_000
+                    for server_state in running.node.balancer.servers.values():
+                        server_state.concurrency_limit = 10_000
         statuses: dict[str, list[int]] = {"old": [], "new": []}
         longest = 0.0
 
-        async def client(kind: str, running: RunningNode, first: float) -> None:
+        async def client(kind: str, running: RunningNode, initial_delay: float) -> None:
             nonlocal longest
             caller = await running.caller()
-            await asyncio.sleep(first)
-            while (began := time.monotonic()) < end:
+            await asyncio.sleep(initial_delay)
+            while (started_at := time.monotonic()) < end:
                 caller.send("low", b"", "900m")
                 statuses[kind].append((await caller.answer())[0])
-                took = time.monotonic() - began
-                longest = max(longest, took)
-                await asyncio.sleep(EVERY - took)
+                duration = time.monotonic() - started_at
+                longest = max(longest, duration)
+                await asyncio.sleep(EVERY - duration)
 
         end = time.monotonic() + 3.0
-        of: list[tuple[str, RunningNode]] = []
+        client_nodes: list[tuple[str, RunningNode]] = []
         for kind, running in nodes:
             # Each kind has the same traffic: an old node has the clients of two new ones.
-            of += [(kind, running)] * (4 if kind == "old" else 2) * (12 if greedy and kind == "new" else 1)
-        await asyncio.gather(*(client(*one, EVERY * place / len(of)) for place, one in enumerate(of)))
+            client_nodes += (
+                [(kind, running)] * (4 if kind == "old" else 2) * (12 if greedy and kind == "new" else 1)
+            )
+        await asyncio.gather(
+            *(
+                client(*kind_and_node, EVERY * index / len(client_nodes))
+                for index, kind_and_node in enumerate(client_nodes)
+            )
+        )
         return statuses, servers, longest
 
     def check(self, statuses: dict[str, list[int]], servers: list[Server]) -> None:
@@ -246,12 +260,12 @@
         done = [name for server in servers for name in server.done]
         assert len(done) == len(set(done)), "an inquiry ran twice"
         served = {}
-        for kind, all_of in statuses.items():
-            served[kind] = all_of.count(200) / max(1, len(all_of))
-        least, most = sorted(served.values())
-        assert least >= MIN_SERVED and least >= MIN_RATIO * most, f"served: {served}"
-        for kind, all_of in statuses.items():
-            assert set(all_of) <= {200, 503}, f"{kind}: {sorted(set(all_of))}"
+        for kind, kind_statuses in statuses.items():
+            served[kind] = kind_statuses.count(200) / max(1, len(kind_statuses))
+        lowest, highest = sorted(served.values())
+        assert lowest >= MIN_SERVED and lowest >= MIN_RATIO * highest, f"served: {served}"
+        for kind, kind_statuses in statuses.items():
+            assert set(kind_statuses) <= {200, 503}, f"{kind}: {sorted(set(kind_statuses))}"
 
     async def test_neither_kind_starves_the_other_and_nothing_runs_twice(self) -> None:
         statuses, servers, longest = await self.play()
