--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,6 +1,7 @@
 """A request that is idempotent by its key is retried only while servers remember the key.
 
-A retry may wait for a connection: if it were sent after the deduplication window, it would run twice.
+Guards against a retry that waits for its connection until the deduplication window is over: the request would
+run twice.
 """
 
 from __future__ import annotations
@@ -37,22 +38,22 @@
         async def answer_second(seen: Message, reader: Any, writer: Any) -> None:
             arrivals.append(time.monotonic())
             if len(arrivals) == 1:
-                late.__enter__()
+                late_connects.__enter__()
                 await hang_up(seen, reader, writer)
             else:
                 writer.write(answer())
 
         servers = [await self.stand_in(answer_second), await self.stand_in(answer_second)]
-        late = LateConnects(*servers)
+        late_connects = LateConnects(*servers)
         node = await self.node(*servers, tracks=[KEYED], bounds=BOUNDS)
         caller = await node.caller()
         caller.send("keyed", b"x", "2900m")
-        await until(lambda: late.point.reached.is_set())
+        await until(lambda: late_connects.point.reached.is_set())
         await asyncio.sleep(connects_after)
-        late.point.go.set()
+        late_connects.point.go.set()
         status, _ = await caller.answer()
-        late.__exit__()
-        return status, [at - arrivals[0] for at in arrivals]
+        late_connects.__exit__()
+        return status, [arrived_at - arrivals[0] for arrived_at in arrivals]
 
     async def test_connection_established_after_the_window_carries_no_retry(self) -> None:
         status, arrivals = await self.play(WINDOW + 0.1)
