--- a/tests/test_drains_in_outages.py
+++ b/tests/test_drains_in_outages.py
@@ -1,7 +1,7 @@
 """A draining server gets no new requests however discovery fails, with real node processes.
 
-A change of the list counts as received when it was written to a watch, or 6 s after discovery had it and was
-reachable. A draining server gets nothing new once the grace period after that is over.
+A change of the list counts as received when it is written to a watch, or else 6 s after discovery has it and
+is reachable. A draining server gets no new requests after the grace period that begins then.
 """
 
 from __future__ import annotations
@@ -17,15 +17,17 @@
 from tests.processes import NodeProcess
 from tests.standins import CHUNKED_HEAD, Message, StandIn, answer, chunked, entry, server_list, until
 
-# All in seconds: when a change counts as received at the latest, and the same after a new configuration; the
-# grace period of a draining server; after how long discovery fails an unanswered call, and answers a slow
-# one.
+# Seconds after which a change counts as received, from the time at which discovery had it and was reachable.
 MAX_CHANGE_DELAY = 6.0
+# The same, from a new configuration.
 MAX_DELAY_AFTER_SIGHUP = 4.0
+# The grace period of a draining server in seconds, from the time at which the change counts as received.
 GRACE = 1.5
+# Seconds after which discovery fails a call that it hasn't answered.
 CALL_TIMEOUT = 3.0
+# Seconds after which discovery answers a slow call.
 SLOW_ANSWER = 2.9
-# Seconds for which a node may be held up.
+# Seconds for which a node may be held up, here while it reads its configuration.
 HELD_UP = 0.15
 # Requests per second of each caller.
 REQUEST_RATE = 25
@@ -75,7 +77,7 @@
 
 
 class ListService(StandIn):
-    """Discovery for one node: plays one outcome per call, and repeats the last one."""
+    """Discovery for one node: handles each call with the next function of `plays`, and repeats the last."""
 
     def __init__(self, *plays: CallPlay) -> None:
         super().__init__(self._play_next)
@@ -135,26 +137,27 @@
     """A change that discovery has when the configuration changes counts as received 4 s later."""
 
     async def late(self, seed: int, addresses: list[list[CallPlay]]) -> list[float]:
-        """Return the late requests after new configurations 0.4 s apart, each with another discovery."""
+        """Name another discovery in a new configuration every 0.4 s; return the late requests."""
         fleet = await Fleet(self, answer_watch).start(seed=seed, pull_interval=10.0)
         fleet.service.snapshot = server_list(2, True, *fleet.entries("Ready"))
         await until(lambda: "list answered" in fleet.node.log_text(), 20.0)
-        places = [ListService(*plays) for plays in addresses]
-        for place in places:
-            await place.start()
-            self.addCleanup(place.stop)
-            place.snapshot = server_list(3, True, *fleet.entries("Terminating"))
-        first = time.monotonic()
-        for number, place in enumerate(places):
-            await asyncio.sleep(first + 0.4 * number - time.monotonic())
-            fleet.node.reload(place.address)
-        await asyncio.sleep(first + MAX_DELAY_AFTER_SIGHUP + GRACE + 2.0 - time.monotonic())
+        services = [ListService(*plays) for plays in addresses]
+        for service in services:
+            await service.start()
+            self.addCleanup(service.stop)
+            service.snapshot = server_list(3, True, *fleet.entries("Terminating"))
+        first_reload_at = time.monotonic()
+        for number, service in enumerate(services):
+            await asyncio.sleep(first_reload_at + 0.4 * number - time.monotonic())
+            fleet.node.reload(service.address)
+        await asyncio.sleep(first_reload_at + MAX_DELAY_AFTER_SIGHUP + GRACE + 2.0 - time.monotonic())
         self.assertTrue(fleet.sent_at, "the draining server was never in use")
-        return fleet.sent_after(first + MAX_DELAY_AFTER_SIGHUP + GRACE)
+        return fleet.sent_after(first_reload_at + MAX_DELAY_AFTER_SIGHUP + GRACE)
 
     async def test_failing_calls_after_a_new_configuration_delay_a_drain_by_at_most_four_seconds(
         self,
     ) -> None:
+        # By name: how discovery at each of the new addresses handles its calls.
         cases: dict[str, list[list[CallPlay]]] = {
             "answered": [[answer_watch]],
             "slowly": [[answer_slowly]],
@@ -252,7 +255,7 @@
 
     async def test_first_list_call_failing_late_leaves_time_for_a_second(self) -> None:
         """A server drains just after the start of nodes whose seeds delay their first call."""
-        latest = [seed for seed in range(1000) if crc32(f"{seed} 1".encode()) / 2**32 > 0.97][:3]
+        late_seeds = [seed for seed in range(1000) if crc32(f"{seed} 1".encode()) / 2**32 > 0.97][:3]
 
         async def play(seed: int) -> list[float]:
             fleet = await Fleet(self, fail_late, answer_watch).start(seed=seed, pull_interval=60.0)
@@ -261,5 +264,5 @@
             self.assertTrue(fleet.sent_at, "the draining server was never in use")
             return fleet.sent_after(received_at + GRACE)
 
-        late = await asyncio.gather(*(play(seed) for seed in latest))
+        late = await asyncio.gather(*(play(seed) for seed in late_seeds))
         self.assertEqual(late, [[]] * 3)
