--- a/coraldeal/net/servers.py
+++ b/coraldeal/net/servers.py
@@ -69,7 +69,7 @@
 PROBE_EXTRA_TIME = 0.25
 # Connect errors of this machine: no descriptor, memory, port or network. They say nothing about the server.
 LOCAL_CONNECT_ERRORS = SHORTAGE_ERRNOS | {errno.EADDRNOTAVAIL, errno.ENETUNREACH}
-# Connect errors that may be gone on the next try; if they persist, they count against the server.
+# Connect errors that may not recur on the next try; if they persist, they count against the server.
 TRANSIENT_CONNECT_ERRORS = frozenset((errno.ECONNABORTED, errno.EHOSTUNREACH))
 # Seconds before the second, third and fourth try of one connect.
 CONNECT_RETRY_DELAYS = (0.002, 0.005, 0.01)
@@ -414,10 +414,11 @@
         """Run one attempt, from its connection to its end; cancelling the task cancels the attempt.
 
         `message`: the request's bytes, or a function that builds them when they are written, so that they
-        state the time left at that moment. `request`: a request whose body is still arriving; its timeout
-        counts from the body's last byte. `not_idempotent`: the request must not run twice, so a connection
-        that its server may be closing is not used. `may_start` is called right before the first byte is
-        written, as the last check that the attempt is still wanted. `timeout_us` is in microseconds.
+        state the time left at that moment. `timeout_us`: the time limit in microseconds, from the start; with
+        a `request`, it starts again at the last byte of its body. `request`: a request whose body is still
+        arriving. `on_body_sent`: called once that body has been written. `not_idempotent`: the request must
+        not run twice, so a connection that the server may be closing is not reused. `may_start`: called right
+        before the first byte is written, as the last check that the attempt is still wanted.
         """
         started = self.clock()
         endpoint = self.endpoints.get(server)
@@ -510,8 +511,8 @@
         """Return a connection from the pool, or else a new one.
 
         Of the idle connections past their settle time, the one used last is preferred, so that the others
-        stay idle and are closed. Raises LocalConnectError or OSError if no connection can be opened, and
-        TimeoutError if that takes longer than the connect timeout.
+        stay idle and are closed. Raises OSError if no connection can be opened, TimeoutError if that takes
+        longer than the connect timeout.
         """
         now = self.loop.time()
         max_idle_time = self._max_idle_time(endpoint, not_idempotent)
@@ -536,7 +537,8 @@
     async def _open(self, endpoint: Endpoint) -> Connection:
         """Open a connection, in several tries if the error may be temporary.
 
-        Raises LocalConnectError if the last error is one of this machine, otherwise OSError.
+        Raises OSError if it can't be opened: LocalConnectError if the last try failed with an error of this
+        machine.
         """
         for pause in CONNECT_RETRY_DELAYS:
             try:
