--- a/coraldeal/net/discovery.py
+++ b/coraldeal/net/discovery.py
@@ -187,7 +187,7 @@
             self.next_call = asyncio.get_running_loop().call_at(at, self._start_extra_call)
 
     def _start_extra_call(self) -> None:
-        """Make one more call, beside those that hang."""
+        """Make the scheduled call; if too many calls are in flight, cancel the one that hangs longest."""
         self.next_call = None
         hung_call = self.plan.make_room(asyncio.get_running_loop().time())
         if hung_call is not None:
