--- a/tests/test_drains_in_outages.py
+++ b/tests/test_drains_in_outages.py
@@ -109,11 +109,11 @@
         await self.service.start()
         for stand_in in (self.stays, self.drains, self.service):
             self.test.addCleanup(stand_in.stop)
-        known = server_list(1, True, *self.entries("Ready"))
+        known_list = server_list(1, True, *self.entries("Ready"))
         # Discovery has this list when it recovers.
         self.service.snapshot = server_list(2, True, *self.entries("Terminating"))
         rules = {"ask_every_ns": int(pull_interval * 1e9)}
-        process = NodeProcess(known, self.service.address, seed=seed, rules=rules)
+        process = NodeProcess(known_list, self.service.address, seed=seed, rules=rules)
         self.node = await self.test.enterAsyncContext(process)
         sending = asyncio.create_task(self._send_requests())
         self.test.addCleanup(sending.cancel)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -206,16 +206,16 @@
         for server in servers:
             await server.start()
             self.addCleanup(server.stop)
-        known = server_list(1, True, *(entry(f"s{i}", s.address) for i, s in enumerate(servers)))
+        known_list = server_list(1, True, *(entry(f"s{i}", s.address) for i, s in enumerate(servers)))
         ports = [f"127.0.0.1:{port}" for port in free_ports(4)]
         nodes: list[tuple[str, RunningNode]] = []
         for number in range(2):
-            old_config = config(known, instances=6, self_index=number)
+            old_config = config(known_list, instances=6, self_index=number)
             nodes.append(("old", await self.enterAsyncContext(RunningNode(old_config))))
         for number in range(4):
             peers = {"nodes": ports, "self": number}
             new_config = config(
-                known, peers=peers, instances=6, self_index=2 + number, bounds={"peers": True}
+                known_list, peers=peers, instances=6, self_index=2 + number, bounds={"peers": True}
             )
             nodes.append(("new", await self.enterAsyncContext(RunningNode(new_config))))
         if greedy:
