--- a/coraldeal/net/admin_interface.py
+++ b/coraldeal/net/admin_interface.py
@@ -27,7 +27,7 @@
     def figures(self) -> dict[str, Any]:
         """Return the node's figures by their outer names; some are left out while they are 0."""
         node = self.node
-        balancer, counts = node.balancer, node.figures
+        balancer, counts = node.balancer, node.counters
         # Listed servers that aren't counted here are in maintenance, draining or ejected.
         now = node.host.now
         usable_servers = sum(server.ejected_until <= now for server in balancer.servers.values())
@@ -63,15 +63,15 @@
     def start_maintenance(self, server: ServerId) -> bool:
         """Send no more attempts to a server, here and in the node's other process; False: unknown server."""
         is_known = self.node.balancer.start_maintenance(server)
-        if is_known and self.node.succession is not None:
-            self.node.succession.link.notify_maintenance_started(server)
+        if is_known and self.node.handover is not None:
+            self.node.handover.link.notify_maintenance_started(server)
         return is_known
 
     def end_maintenance(self, server: ServerId) -> bool:
         """End the maintenance of a server, here and in the node's other process; False: unknown server."""
         is_known = self.node.balancer.end_maintenance(server)
-        if is_known and self.node.succession is not None:
-            self.node.succession.link.notify_maintenance_ended(server)
+        if is_known and self.node.handover is not None:
+            self.node.handover.link.notify_maintenance_ended(server)
         return is_known
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -103,7 +103,7 @@
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
-        self.assertEqual((successor.figures.attempts, predecessor.figures.attempts), (1, 0))
+        self.assertEqual((successor.counters.attempts, predecessor.counters.attempts), (1, 0))
         # Maintenance that is started or ended at either process applies to both.
         assert successor.admin_listener is not None and predecessor.admin_listener is not None
         self.assertTrue(predecessor.admin_listener.interface.end_maintenance("s1"))
@@ -133,21 +133,21 @@
         successor = (await self.start()).node
         await until(lambda: predecessor.callers.listener is None)
         successor.callers.set_accepting(False)
-        assert successor.succession is not None
-        await successor.succession.link.close()
+        assert successor.handover is not None
+        await successor.handover.link.close()
         await until(lambda: predecessor.callers.listener is not None)
         caller = await Caller(self.port).open()
         self.addCleanup(caller.leave)
         self.assertEqual((await caller.ask("read"))[0], 200)
-        self.assertEqual((predecessor.figures.attempts, predecessor.share), (1, 1.0))
+        self.assertEqual((predecessor.counters.attempts, predecessor.share), (1, 1.0))
         # The next successor connects to it again.
         third = (await self.start(with_list=False)).node
         self.assertIn("s0", third.balancer.servers)
 
     async def test_without_a_usable_predecessor_the_node_starts_from_its_own_list(self) -> None:
         first = await self.start()
-        assert first.node.succession is not None
-        path = first.node.succession.link.path
+        assert first.node.handover is not None
+        path = first.node.handover.link.path
         cases = (
             "nothing",
             "a file",
@@ -225,7 +225,7 @@
 
     async def test_sizes_and_kinds_of_servers_are_handed_over(self) -> None:
         node = (await self.start()).node
-        handover, balancer = node.succession, node.balancer
+        handover, balancer = node.handover, node.balancer
         assert handover is not None
         name, entry = next(iter(balancer.listed.items()))
         balancer.listed[name] = replace(entry, size=2.5, kind="m2")
