--- a/coraldeal/admin/commands.py
+++ b/coraldeal/admin/commands.py
@@ -63,7 +63,7 @@
     if call in CALLS_WITH_SERVER and len(arguments) == 1:
         return CALLS_WITH_SERVER[call](interface, arguments[0]).encode()
     if call in CALLS:
-        return f"ERR {call} takes no arguments\n".encode()
+        return f"ERR {call} takes nothing behind it\n".encode()
     if call in CALLS_WITH_SERVER:
         return f"ERR {call} takes one server's id\n".encode()
-    return f"ERR no such call; known calls: {', '.join([*CALLS, *CALLS_WITH_SERVER])}\n".encode()
+    return f"ERR no such call; there are {', '.join([*CALLS, *CALLS_WITH_SERVER])}\n".encode()
--- a/coraldeal/net/bodies.py
+++ b/coraldeal/net/bodies.py
@@ -155,7 +155,7 @@
             raise
         except ConnectionError:
             # As a ConnectionError it would be counted as a failure of the server.
-            self.caller_error = InvalidRequestError(400, "the caller disconnected before the end of the body")
+            self.caller_error = InvalidRequestError(400, "its caller has gone")
             raise self.caller_error from None
         self.bytes_read += len(piece)
         if self.bytes_read > MAX_BODY_BYTES:
@@ -169,8 +169,8 @@
     try:
         piece = await progress.wait_for(content.readany())
     except TimeoutError:
-        raise InvalidRequestError(408, "the body was not received in time") from None
+        raise InvalidRequestError(408, "the body did not come in time") from None
     except (web.RequestPayloadError, HttpProcessingError):
-        raise InvalidRequestError(400, "the body is malformed") from None
+        raise InvalidRequestError(400, "the body can't be read") from None
     progress.bytes_done += len(piece)
     return piece
--- a/coraldeal/net/callers.py
+++ b/coraldeal/net/callers.py
@@ -422,9 +422,9 @@
         """
         message, headers = request._message, request.headers
         if message.version not in (HttpVersion10, HttpVersion11) or message.upgrade:
-            raise InvalidRequestError(400, "only HTTP/1.0 and HTTP/1.1 without upgrades are supported")
+            raise InvalidRequestError(400, "this is HTTP/1.1 without upgrades")
         if any(len(headers.getall(name, ())) > 1 for name in UNIQUE_HEADERS):
-            raise InvalidRequestError(400, "a header that may appear only once appears more than once")
+            raise InvalidRequestError(400, "a field stands twice that may stand once")
         if headers.get("Transfer-Encoding", "chunked").lower() != "chunked":
             raise InvalidRequestError(400, "Transfer-Encoding is not chunked")
         if (request.content_length or 0) > MAX_BODY_BYTES:
--- a/coraldeal/net/wire.py
+++ b/coraldeal/net/wire.py
@@ -176,7 +176,7 @@
     target = path_of(target)
     request_class = request_class_of(target)
     if not target.startswith("/") or request_class not in request_classes:
-        raise InvalidRequestError(404, "the first segment of the path is no configured request class")
+        raise InvalidRequestError(404, "the first part of the path names no class of request known here")
     if method not in METHODS:
         raise InvalidRequestError(405, "the method is none of GET, POST and HEAD")
     request_id = fields.get("Req-Id", "").strip()
