--- a/coraldeal/interface.py
+++ b/coraldeal/interface.py
@@ -190,7 +190,8 @@
     """Everything the decisions may do outside themselves. `now` is the clock, in microseconds."""
 
     @property
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """The time on the host's clock, in microseconds."""
 
     def send(self, inquiry: InquiryId, server: ServerId, timeout_us: int) -> None:
         """Start the next attempt of an inquiry."""
--- a/coraldeal/logs.py
+++ b/coraldeal/logs.py
@@ -17,6 +17,7 @@
     """Formats a log record and the pairs passed as `extra={"pairs": {...}}`."""
 
     def format(self, record: logging.LogRecord) -> str:
+        """Return the record as one line of key=value pairs; a traceback becomes the value of `trace`."""
         timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(record.created))
         pairs: dict[str, Any] = {
             "time": f"{timestamp}.{int(record.msecs):03d}Z",
