--- a/coraldeal/rig/baseline.py
+++ b/coraldeal/rig/baseline.py
@@ -188,6 +188,7 @@
     """Chooses the servers in turn, from a random first one."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
+        """Return the next of the servers in turn."""
         if not self.turn:
             self.turn = int(self.draw() * 1000)
         self.turn += 1
@@ -198,6 +199,7 @@
     """Chooses, of two random servers, the one with fewer open attempts, as many proxies do."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
+        """Return the one of two randomly drawn servers that has fewer open attempts."""
         first, second = super().choose(names), super().choose(names)
         return first if self.load[first] <= self.load[second] else second
 
@@ -214,6 +216,7 @@
         over: bool,
         report: dict[str, float] | None,
     ) -> None:
+        """Treat every outcome but SERVED as CONNECT_FAILED, and continue the inquiry."""
         # After CONNECT_FAILED every request may be retried, since the server never received it.
         reported = outcome if outcome is Outcome.SERVED else Outcome.CONNECT_FAILED
         super().attempt_ended(name, number, reported, latency_us, over, report)
@@ -223,6 +226,7 @@
     """Planted fault: forgets one inquiry in twenty, and the node's own time-out does not answer it either."""
 
     def attempt(self, inquiry: _InquiryState) -> None:
+        """Forget one inquiry in twenty before its first attempt; otherwise send the next attempt."""
         if inquiry.attempts == 0 and self.draw() < 0.05:
             del self.inquiries[inquiry.name]
             return
@@ -233,6 +237,7 @@
     """Planted fault: ignores the drains in the list."""
 
     def servers_listed(self, kind: ListKind, entries: list[Entry]) -> None:
+        """Add the ready servers of the list or update, and remove none."""
         ready = [entry for entry in entries if entry.condition is Condition.READY]
         super().servers_listed(ListKind.CHANGES, ready)
 
@@ -241,6 +246,7 @@
     """Planted fault: sends everything to the server that has started last."""
 
     def choose(self, names: list[ServerId]) -> ServerId:
+        """Return the server with the latest start time."""
         return max(names, key=lambda name: (self.servers[name].started_at_us, name))
 
 
--- a/coraldeal/rig/callers.py
+++ b/coraldeal/rig/callers.py
@@ -69,11 +69,13 @@
         self.has_answer_bytes = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport, and count the connection as open."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.pool.open_connections += 1
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Remove the closed connection from the idle ones, and notify the inquiry whose request is open."""
         self.pool.open_connections -= 1
         with contextlib.suppress(ValueError):
             self.target.idle.remove(self)
@@ -91,6 +93,7 @@
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Parse the answer to the open request; bytes without an open request close the connection."""
         inquiry = self.inquiry
         if inquiry is None:
             # No request is open, so these bytes must not be taken for the answer to a later one.
--- a/coraldeal/rig/relaybench.py
+++ b/coraldeal/rig/relaybench.py
@@ -108,6 +108,7 @@
         self.buffer = b""
 
     def data_received(self, data: bytes) -> None:
+        """Count the bytes and the changes in complete lines, and append each change's delay in seconds."""
         self.received_bytes += len(data)
         *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
--- a/coraldeal/rig/scale/hollow.py
+++ b/coraldeal/rig/scale/hollow.py
@@ -172,15 +172,20 @@
         """The monotonic clock in microseconds."""
         return clock()
 
-    def send(self, inquiry: InquiryId, server: ServerId, timeout_us: int) -> None: ...
+    def send(self, inquiry: InquiryId, server: ServerId, timeout_us: int) -> None:
+        """Do nothing: no inquiry comes, so no attempt is started."""
 
-    def reject(self, inquiry: InquiryId, retry_after_us: int) -> None: ...
+    def reject(self, inquiry: InquiryId, retry_after_us: int) -> None:
+        """Do nothing: there is no inquiry to reject."""
 
-    def fail(self, inquiry: InquiryId) -> None: ...
+    def fail(self, inquiry: InquiryId) -> None:
+        """Do nothing: there is no inquiry to fail."""
 
-    def cancel(self, inquiry: InquiryId, attempt: int) -> None: ...
+    def cancel(self, inquiry: InquiryId, attempt: int) -> None:
+        """Do nothing: there is no attempt to cancel."""
 
-    def send_to_peer(self, peer: int, message: PeerMessage) -> None: ...
+    def send_to_peer(self, peer: int, message: PeerMessage) -> None:
+        """Drop the message: a hollow node has no peer transport."""
 
     def wake(self, token: str, after_us: int) -> None:
         """Call the module with this token after a time."""
@@ -193,7 +198,8 @@
         """Start a watch, or a call for the list."""
         self.discovery.follow()
 
-    def log(self, text: str) -> None: ...
+    def log(self, text: str) -> None:
+        """Drop the log line."""
 
 
 def _nothing() -> None:
--- a/coraldeal/rig/standins.py
+++ b/coraldeal/rig/standins.py
@@ -79,6 +79,7 @@
         self.pending = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register the new connection with the server and its model, and start its idle time."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self.exceeds_limit = not self.server.model.connected(now_us())
@@ -86,12 +87,14 @@
         self._start_idle()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Handle the end of the connection after the network's delay."""
         if self.delay:
             self.server.loop.call_later(self.delay, self._lost)
         else:
             self._lost()
 
     def eof_received(self) -> bool:
+        """Return False, so that asyncio closes the connection when the sender has closed its side."""
         # By the platform's protocol a sender that closes its side cancels the attempt.
         return False
 
@@ -105,6 +108,7 @@
             self.server.model.cancel(self.request, now_us())
 
     def data_received(self, data: bytes) -> None:
+        """Handle the bytes after the network's delay; drop them while the network is cut."""
         if self.server.faults.cut:
             return
         if self.delay:
@@ -521,6 +525,7 @@
     # The model's host.
 
     def ended(self, request: int, outcome: RequestOutcome, ran: bool) -> None:
+        """Record whether the request ran, and answer it unless it was cancelled or its connection closed."""
         connection = self.open_requests.pop(request, None)
         self.deadlines.pop(request, None)
         if connection is None or connection.record is None:
@@ -538,6 +543,7 @@
         connection.answer(outcome)
 
     def call_next_tier(self, request: int, calls: int) -> None:
+        """Make the request's calls to the next tier, and pass their result to the model when they end."""
         assert self.call is not None
         connection = self.open_requests.get(request)
         request_class = (
@@ -553,6 +559,7 @@
         self.model.next_tier_ended(request, succeeded, now_us())
 
     def set_timer(self, at_us: int) -> None:
+        """Set the model's only timer to expire at this time in microseconds; a previous time is replaced."""
         if self.timer is not None:
             if self.timer_at == at_us and not self.timer.cancelled() and self.timer.when() > self.loop.time():
                 return
@@ -566,4 +573,5 @@
             self.model.timer_expired(max(now_us(), self.timer_at))
 
     def collapsed(self) -> None:
+        """Record that the server has collapsed under load while cold."""
         self._record("fell")
