--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -143,13 +143,13 @@
         connect = running.node.servers._connect
         in_maintenance: list[int] = []
 
-        async def start_maintenance_first(target: Endpoint, careful: bool = False) -> Connection:
+        async def start_maintenance_first(target: Endpoint, not_idempotent: bool = False) -> Connection:
             if not in_maintenance:
                 in_maintenance.extend(
                     i for i, server in enumerate(servers) if server.address == target.address
                 )
                 self.assertEqual(await self.call(b"maint-on s%d\n" % in_maintenance[0]), b"OK\n")
-            return await connect(target, careful)
+            return await connect(target, not_idempotent)
 
         with mock.patch.object(running.node.servers, "_connect", start_maintenance_first):
             self.assertEqual((await caller.ask("write", b"x"))[0], 200)
