--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -132,7 +132,7 @@
     async def attempt(self, not_idempotent: bool = False) -> Outcome:
         return (await self.servers.attempt("s", self.head, SECOND, not_idempotent=not_idempotent)).outcome
 
-    async def test_careful_attempt_avoids_connections_that_may_be_closing(self) -> None:
+    async def test_not_idempotent_attempt_does_not_reuse_a_connection_that_may_be_closing(self) -> None:
         periods = self.servers.endpoints["s"].idle_periods
         assert periods is not None
         for _ in range(40):
