--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -26,11 +26,11 @@
 
 # Requests that a server stand-in works on at once, and the seconds that each takes: long enough that servers
 # are the bottleneck. At 20 ms this process was, and the effect of a greedy kind depended on the machine.
-AT_ONCE = 2
+CONCURRENT_REQUESTS = 2
 WORK = 0.1
 # Seconds from one request of a client to its next. All clients together use two thirds of the servers'
 # capacity.
-EVERY = 0.4
+REQUEST_INTERVAL_S = 0.4
 # The minimum fraction of each kind's requests that is served, and the minimum ratio of the lower of these
 # fractions to the higher.
 MIN_SERVED = 0.7
@@ -174,24 +174,24 @@
 
 
 class Server(StandIn):
-    """Works on a few requests at once; records the ids of those done, and how many it held at most."""
+    """Works on a few requests at once; records the ids of those done, and the most open at one time."""
 
     def __init__(self) -> None:
         super().__init__(self.work)
-        self.slots = asyncio.Semaphore(AT_ONCE)
+        self.slots = asyncio.Semaphore(CONCURRENT_REQUESTS)
         self.done: list[str] = []
-        self.held = self.most = 0
+        self.open_requests = self.max_open_requests = 0
 
     async def work(self, seen: Message, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.held += 1
-        self.most = max(self.most, self.held)
+        self.open_requests += 1
+        self.max_open_requests = max(self.max_open_requests, self.open_requests)
         try:
             async with self.slots:
                 await asyncio.sleep(WORK)
             self.done.append(seen.fields["req-id"])
             writer.write(answer())
         finally:
-            self.held -= 1
+            self.open_requests -= 1
 
 
 class MixedNodes(unittest.IsolatedAsyncioTestCase):
@@ -238,7 +238,7 @@
                 statuses[kind].append((await caller.answer())[0])
                 duration = time.monotonic() - started_at
                 longest = max(longest, duration)
-                await asyncio.sleep(EVERY - duration)
+                await asyncio.sleep(REQUEST_INTERVAL_S - duration)
 
         end = time.monotonic() + 3.0
         client_nodes: list[tuple[str, RunningNode]] = []
@@ -249,7 +249,7 @@
             )
         await asyncio.gather(
             *(
-                client(*kind_and_node, EVERY * index / len(client_nodes))
+                client(*kind_and_node, REQUEST_INTERVAL_S * index / len(client_nodes))
                 for index, kind_and_node in enumerate(client_nodes)
             )
         )
