--- a/coraldeal/rig/baseline.py
+++ b/coraldeal/rig/baseline.py
@@ -121,17 +121,17 @@
         number: int,
         outcome: Outcome,
         latency_us: int,
-        over: bool,
+        is_final: bool,
         report: dict[str, float] | None,
     ) -> None:
-        """Continue an inquiry whose attempt ended; `over`: the inquiry already has its final answer."""
+        """Continue an inquiry whose attempt ended; `is_final`: the inquiry already has its final answer."""
         inquiry = self.inquiries.get(name)
         if inquiry is None or inquiry.open_at is None:
             return
         server, inquiry.open_at = inquiry.open_at, None
         if server in self.load:
             self.load[server] -= 1
-        if over:
+        if is_final:
             del self.inquiries[name]
             return
         if not outcome.proved_not_run and inquiry.ran_on is None:
@@ -163,7 +163,7 @@
         if token == "list":
             self.host.follow_list()
 
-    def peer_message_received(self, peer: int, note: PeerMessage) -> None:
+    def peer_message_received(self, peer: int, message: PeerMessage) -> None:
         """Ignore the message: baselines neither send nor use messages between nodes."""
 
     def list_failed(self) -> None:
@@ -213,13 +213,13 @@
         number: int,
         outcome: Outcome,
         latency_us: int,
-        over: bool,
+        is_final: bool,
         report: dict[str, float] | None,
     ) -> None:
         """Treat every outcome but SERVED as CONNECT_FAILED, and continue the inquiry."""
         # After CONNECT_FAILED every request may be retried, since the server never received it.
         reported = outcome if outcome is Outcome.SERVED else Outcome.CONNECT_FAILED
-        super().attempt_ended(name, number, reported, latency_us, over, report)
+        super().attempt_ended(name, number, reported, latency_us, is_final, report)
 
 
 class LosesOne(RandomBalancer):
